--- a/internal/decide/burdockexpert/bench_test.go
+++ b/internal/decide/burdockexpert/bench_test.go
@@ -62,12 +62,12 @@
 func testInput(s Snapshot, present *Map, ranks []Rank) Input {
 	return Input{
 		Popularity:  s,
-		Present:     present,
+		Current:     present,
 		Ranks:       ranks,
 		Weights:     Weights{Skew: 4, Cost: 1},
 		ExpertBytes: testBytes,
 		StoreRate:   testRate,
-		Hold:        testHolding,
+		Horizon:     testHolding,
 	}
 }
 
@@ -108,7 +108,7 @@
 // BenchmarkPlanFirst is the decision on a group that has no map yet.
 func BenchmarkPlanFirst(b *testing.B) {
 	in := benchInput(1)
-	in.Present = nil
+	in.Current = nil
 	b.ReportAllocs()
 	for b.Loop() {
 		New(Config{}).Plan(0, in)
--- a/internal/decide/burdockexpert/codec.go
+++ b/internal/decide/burdockexpert/codec.go
@@ -7,9 +7,9 @@
 	"github.com/joomcode/errorx"
 )
 
-// MaxEncoded is the largest encoding of a map: a value of the configuration
+// MaxEncodedSize is the largest encoding of a map: a value of the configuration
 // store holds no more.
-const MaxEncoded = 1 << 20
+const MaxEncodedSize = 1 << 20
 
 // formatVersion is the first byte of an encoded map.
 const formatVersion = 1
@@ -25,8 +25,8 @@
 // ranks may compare digests in place of maps.
 func (m *Map) Encode() ([]byte, error) {
 	size := m.encodedSize()
-	if size > MaxEncoded {
-		return nil, MalformedMap.New("encoding has %d bytes, limit %d", size, MaxEncoded)
+	if size > MaxEncodedSize {
+		return nil, MalformedMap.New("encoding has %d bytes, limit %d", size, MaxEncodedSize)
 	}
 	return m.append(make([]byte, 0, size)), nil
 }
@@ -55,8 +55,8 @@
 // Decode reads what Encode returned. Any other bytes give an error of type
 // MalformedMap, also those that would stand for a map in another spelling.
 func Decode(b []byte) (*Map, error) {
-	if len(b) > MaxEncoded {
-		return nil, MalformedMap.New("%d bytes, limit %d", len(b), MaxEncoded)
+	if len(b) > MaxEncodedSize {
+		return nil, MalformedMap.New("%d bytes, limit %d", len(b), MaxEncodedSize)
 	}
 	d := decoder{rest: b}
 	m := d.decode()
--- a/internal/decide/burdockexpert/codec_test.go
+++ b/internal/decide/burdockexpert/codec_test.go
@@ -9,10 +9,10 @@
 
 func smallMap() *Map {
 	m := NewMap(Shape{Layers: 2, Ranks: 2, Experts: 200})
-	m.Hold(0, 0, 3)
-	m.Hold(0, 0, 199)
-	m.Hold(0, 1, 0)
-	m.Hold(1, 1, 7)
+	m.Add(0, 0, 3)
+	m.Add(0, 0, 199)
+	m.Add(0, 1, 0)
+	m.Add(1, 1, 7)
 	return m
 }
 
@@ -31,7 +31,7 @@
 		"huge shape":    {1, 0xff, 7, 0xff, 0x1f, 1, 0},
 		"expert number": {1, 1, 1, 2, 1, 2},
 		"too long list": {1, 1, 1, 2, 3, 0, 0, 0},
-		"too large":     make([]byte, MaxEncoded+1),
+		"too large":     make([]byte, MaxEncodedSize+1),
 	} {
 		if _, err := Decode(b); !errorx.IsOfType(err, MalformedMap) {
 			t.Errorf("%s: Decode error = %v, want MalformedMap", name, err)
@@ -41,7 +41,7 @@
 
 func TestEncodedSizeOfLargestGroup(t *testing.T) {
 	in := benchInput(1)
-	b, err := in.Present.Encode()
+	b, err := in.Current.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,8 +72,8 @@
 
 func TestCheckReportsAllWithPlace(t *testing.T) {
 	m := NewMap(Shape{Layers: 1, Ranks: 2, Experts: 3})
-	m.Hold(0, 0, 0)
-	m.Hold(0, 0, 1)
+	m.Add(0, 0, 0)
+	m.Add(0, 0, 1)
 	list := m.Check([]Rank{{Slots: 1, Speed: 1}, {Slots: 2, Speed: 1}})
 	want := "layers.0.experts.2: no rank holds the expert; want at least one\n" +
 		"layers.0.ranks.0: holds 2 experts; want at most 1"
--- a/internal/decide/burdockexpert/decision.go
+++ b/internal/decide/burdockexpert/decision.go
@@ -14,14 +14,14 @@
 // Stay keeps the present map.
 type Stay struct {
 	Reason   Reason
-	Findings burdockfinding.List // for ReasonInput and ReasonFault: what is wrong
+	Findings burdockfinding.List // for ReasonInputInvalid and ReasonPlannerFault: what is wrong
 }
 
 // Move replaces the present map.
 type Move struct {
 	Reason Reason
 	Map    *Map
-	Moves  []Load
+	Loads  []ExpertLoad
 	Cost   burdockclock.Millis // time that the weight store needs
 	// Saving is the time that the steps are expected to lose less until the
 	// popularity changes, with the noise's part taken off. It says nothing
@@ -32,9 +32,9 @@
 func (Stay) isDecision() {}
 func (Move) isDecision() {}
 
-// Load orders a rank to fetch an expert. What a rank holds and the new map
+// ExpertLoad orders a rank to fetch an expert. What a rank holds and the new map
 // does not name is dropped; that costs nothing.
-type Load struct {
+type ExpertLoad struct {
 	Layer  burdockid.Layer
 	Rank   burdockid.Rank
 	Expert burdockid.Expert
@@ -45,40 +45,40 @@
 
 // The reasons of a Stay.
 const (
-	// ReasonInput: the input has findings, so nothing could be decided.
-	ReasonInput Reason = "inputInvalid"
-	// ReasonEven: no change was found that lowers the skew.
-	ReasonEven Reason = "nothingToGain"
-	// ReasonCost: moving costs more than the skew that it saves is worth.
-	ReasonCost Reason = "costOutweighsSaving"
-	// ReasonNoise: the saving is no larger than what noise in the popularity
+	// ReasonInputInvalid: the input has findings, so nothing could be decided.
+	ReasonInputInvalid Reason = "inputInvalid"
+	// ReasonNothingToGain: no change was found that lowers the skew.
+	ReasonNothingToGain Reason = "nothingToGain"
+	// ReasonCostOutweighsSaving: moving costs more than the skew that it saves is worth.
+	ReasonCostOutweighsSaving Reason = "costOutweighsSaving"
+	// ReasonSavingWithinNoise: the saving is no larger than what noise in the popularity
 	// makes appear by itself.
-	ReasonNoise Reason = "savingWithinNoise"
+	ReasonSavingWithinNoise Reason = "savingWithinNoise"
 )
 
-// ReasonFault is the reason of a Stay too: the planner made a map that fails
+// ReasonPlannerFault is the reason of a Stay too: the planner made a map that fails
 // its own check.
-const ReasonFault Reason = "plannerFault"
+const ReasonPlannerFault Reason = "plannerFault"
 
 // The reasons of a Move.
 const (
-	// ReasonFirst: there was no map of this shape.
-	ReasonFirst Reason = "firstPlacement"
-	// ReasonNeed: the present map can't be used, because a rank was lost,
+	// ReasonFirstPlacement: there was no map of this shape.
+	ReasonFirstPlacement Reason = "firstPlacement"
+	// ReasonMapUnusable: the present map can't be used, because a rank was lost,
 	// replaced, or has less memory than before.
-	ReasonNeed Reason = "presentMapUnusable"
-	// ReasonSkew: the skew saved is worth more than the move.
-	ReasonSkew Reason = "savingOutweighsCost"
+	ReasonMapUnusable Reason = "presentMapUnusable"
+	// ReasonSavingOutweighsCost: the skew saved is worth more than the move.
+	ReasonSavingOutweighsCost Reason = "savingOutweighsCost"
 )
 
-// Loads returns what ranks have to fetch to get from one map to another.
-func Loads(from, to *Map) []Load {
-	var list []Load
+// RequiredLoads returns what ranks have to fetch to get from one map to another.
+func RequiredLoads(from, to *Map) []ExpertLoad {
+	var list []ExpertLoad
 	for l := range burdockid.Layer(to.shape.Layers) {
 		for r := range burdockid.Rank(to.shape.Ranks) {
 			for _, e := range to.holds[to.index(l, r)] {
 				if !from.Holds(l, r, burdockid.Expert(e)) {
-					list = append(list, Load{Layer: l, Rank: r, Expert: burdockid.Expert(e)})
+					list = append(list, ExpertLoad{Layer: l, Rank: r, Expert: burdockid.Expert(e)})
 				}
 			}
 		}
--- a/internal/decide/burdockexpert/difference_test.go
+++ b/internal/decide/burdockexpert/difference_test.go
@@ -15,7 +15,7 @@
 	for l := range burdockid.Layer(s.Layers) {
 		for r := range burdockid.Rank(s.Ranks) {
 			for range places {
-				m.Hold(l, r, burdockid.Expert(random.IntN(s.Experts)))
+				m.Add(l, r, burdockid.Expert(random.IntN(s.Experts)))
 			}
 		}
 	}
@@ -29,7 +29,7 @@
 		if len(held) > 0 && random.IntN(oneIn) == 0 {
 			out.holds[i] = onlyInOne(held, []uint16{held[random.IntN(len(held))]})
 			l, r := burdockid.Layer(i/m.shape.Ranks), burdockid.Rank(i%m.shape.Ranks)
-			out.Hold(l, r, burdockid.Expert(random.IntN(m.shape.Experts)))
+			out.Add(l, r, burdockid.Expert(random.IntN(m.shape.Experts)))
 		}
 	}
 	return out
--- a/internal/decide/burdockexpert/example_test.go
+++ b/internal/decide/burdockexpert/example_test.go
@@ -15,23 +15,23 @@
 	}
 	present := burdockexpert.NewMap(burdockexpert.Shape{Layers: 1, Ranks: 2, Experts: 4})
 	for e := range burdockid.Expert(4) {
-		present.Hold(0, burdockid.Rank(e)/2, e)
+		present.Add(0, burdockid.Rank(e)/2, e)
 	}
 	planner := burdockexpert.New(burdockexpert.Config{})
 	decision := planner.Plan(burdockclock.Minute, burdockexpert.Input{
 		Popularity:  popularity.Snapshot(),
-		Present:     present,
+		Current:     present,
 		Ranks:       []burdockexpert.Rank{{Slots: 3, Speed: 1}, {Slots: 3, Speed: 1}},
 		Weights:     burdockexpert.Weights{Skew: 4, Cost: 1},
 		ExpertBytes: 44_000_000,
 		StoreRate:   1_000_000_000,
-		Hold:        10 * burdockclock.Minute,
+		Horizon:     10 * burdockclock.Minute,
 	})
 	switch d := decision.(type) {
 	case burdockexpert.Stay:
 		fmt.Println("stay:", d.Reason)
 	case burdockexpert.Move:
-		fmt.Println("move:", d.Reason, d.Moves, d.Cost, "ms")
+		fmt.Println("move:", d.Reason, d.Loads, d.Cost, "ms")
 		fmt.Println(d.Map.Experts(0, 0), d.Map.Experts(0, 1))
 	}
 	// Output:
--- a/internal/decide/burdockexpert/input.go
+++ b/internal/decide/burdockexpert/input.go
@@ -17,13 +17,13 @@
 	// Speed is the rank's speed against its peers: 1 is normal, 0.5 takes
 	// twice the time for the same load.
 	Speed float64
-	// MaxLoads is the number of new experts of one layer that the rank can load
+	// MaxLayerLoads is the number of new experts of one layer that the rank can load
 	// beside those in use; 0 is no bound. It does not hold for a rank that is
 	// Empty or a map that has to be repaired.
-	MaxLoads int
-	// MaxTotal is the same over all layers together; 0 is no bound. A change is
+	MaxLayerLoads int
+	// MaxTotalLoads is the same over all layers together; 0 is no bound. A change is
 	// in force only when the last rank has loaded.
-	MaxTotal int
+	MaxTotalLoads int
 	// Empty marks a rank that was replaced and holds nothing, whatever the
 	// present map says.
 	Empty bool
@@ -39,15 +39,15 @@
 // Input is all that one decision rests on.
 type Input struct {
 	Popularity Snapshot
-	Present    *Map // nil before the first placement
+	Current    *Map // nil before the first placement
 	Ranks      []Rank
 	Weights    Weights
 	// ExpertBytes is the size of the weights of one expert of one layer.
 	ExpertBytes burdockid.Bytes
 	// StoreRate is the weight store's rate limit for the group.
 	StoreRate burdockid.BytesPerSecond
-	// Hold is how long the popularity is expected to stay as it is.
-	Hold burdockclock.Millis
+	// Horizon is how long the popularity is expected to stay as it is.
+	Horizon burdockclock.Millis
 }
 
 const (
@@ -112,8 +112,8 @@
 	if in.StoreRate <= 0 {
 		add("storeRate", fmt.Sprintf("is %d", in.StoreRate), "above 0")
 	}
-	if in.Hold < 0 {
-		add("hold", fmt.Sprintf("is %d", in.Hold), "0 or more")
+	if in.Horizon < 0 {
+		add("hold", fmt.Sprintf("is %d", in.Horizon), "0 or more")
 	}
 	return list
 }
--- a/internal/decide/burdockexpert/layer.go
+++ b/internal/decide/burdockexpert/layer.go
@@ -8,7 +8,7 @@
 type layerState struct {
 	shape   Shape
 	slots   []int
-	most    []int     // by rank: loads that it can take, see Rank.MaxLoads
+	most    []int     // by rank: loads that it can take, see Rank.MaxLayerLoads
 	news    []int     // by rank: what it has to load to get here from origin
 	inverse []float64 // time that a unit of share takes on the rank
 	usable  int       // ranks with slots
--- a/internal/decide/burdockexpert/map.go
+++ b/internal/decide/burdockexpert/map.go
@@ -48,8 +48,8 @@
 // Shape returns the extent of m.
 func (m *Map) Shape() Shape { return m.shape }
 
-// Hold lets a rank hold an expert. It reports whether that is new.
-func (m *Map) Hold(l burdockid.Layer, r burdockid.Rank, e burdockid.Expert) bool {
+// Add lets a rank hold an expert. It reports whether that is new.
+func (m *Map) Add(l burdockid.Layer, r burdockid.Rank, e burdockid.Expert) bool {
 	if e < 0 || int(e) >= m.shape.Experts {
 		panic(fmt.Sprintf("burdockexpert: expert %d is out of range", e))
 	}
@@ -100,11 +100,11 @@
 		m.checkCover(&list, l)
 		m.checkMemory(&list, l, ranks)
 	}
-	if size := m.encodedSize(); size > MaxEncoded {
+	if size := m.encodedSize(); size > MaxEncodedSize {
 		list.Add(burdockfinding.Finding{
 			Key:  "size",
 			What: fmt.Sprintf("the encoded map has %d bytes", size),
-			Want: fmt.Sprintf("at most %d", MaxEncoded),
+			Want: fmt.Sprintf("at most %d", MaxEncodedSize),
 		})
 	}
 	return list
--- a/internal/decide/burdockexpert/planner.go
+++ b/internal/decide/burdockexpert/planner.go
@@ -17,13 +17,13 @@
 	// NoiseMargin is the number of times that a layer's saving has to exceed
 	// the skew that noise alone makes appear.
 	NoiseMargin float64
-	// LayerChanges bounds the changes tried in one layer.
-	LayerChanges int
-	// TotalChanges bounds the changes tried in one decision, and so its time.
+	// MaxLayerChanges bounds the changes tried in one layer.
+	MaxLayerChanges int
+	// MaxTotalChanges bounds the changes tried in one decision, and so its time.
 	// The layers that lose most come first.
-	TotalChanges int
-	// History is the number of decisions kept for the state dump.
-	History int
+	MaxTotalChanges int
+	// MaxHistory is the number of decisions kept for the state dump.
+	MaxHistory int
 }
 
 // Defaults of Config.
@@ -45,9 +45,9 @@
 // New returns a planner.
 func New(cfg Config) *Planner {
 	setDefault(&cfg.NoiseMargin, defaultNoiseMargin)
-	setDefault(&cfg.LayerChanges, defaultLayerChanges)
-	setDefault(&cfg.TotalChanges, defaultTotalChanges)
-	setDefault(&cfg.History, defaultHistory)
+	setDefault(&cfg.MaxLayerChanges, defaultLayerChanges)
+	setDefault(&cfg.MaxTotalChanges, defaultTotalChanges)
+	setDefault(&cfg.MaxHistory, defaultHistory)
 	return &Planner{cfg: cfg}
 }
 
@@ -76,9 +76,9 @@
 
 func (p *Planner) decide(now burdockclock.Millis, in *Input) (Decision, Record) {
 	if list := in.Check(); list.Err() != nil {
-		return Stay{Reason: ReasonInput, Findings: list}, Record{Verdict: verdictStay, Reason: ReasonInput}
+		return Stay{Reason: ReasonInputInvalid, Findings: list}, Record{Verdict: verdictStay, Reason: ReasonInputInvalid}
 	}
-	if in.Present == nil || in.Present.shape != in.shape() {
+	if in.Current == nil || in.Current.shape != in.shape() {
 		return p.first(in)
 	}
 	w := newWork(p.cfg, in, p.holds(now, in))
@@ -114,7 +114,7 @@
 		p.changed = make([]*burdockclock.Millis, len(holds))
 	}
 	for l := range holds {
-		holds[l] = float64(in.Hold)
+		holds[l] = float64(in.Horizon)
 		if at := p.changed[l]; at != nil {
 			holds[l] = min(holds[l], lastingPart*float64(max(0, now-*at)))
 		}
@@ -125,9 +125,9 @@
 // first places all experts afresh.
 func (p *Planner) first(in *Input) (Decision, Record) {
 	m := Solve(in.Popularity, in.Ranks)
-	moves := Loads(NewMap(in.shape()), m)
+	moves := RequiredLoads(NewMap(in.shape()), m)
 	cost := in.moveCost(len(moves))
 	after := mean(Imbalance(m, in.Popularity, in.Ranks))
-	return Move{Reason: ReasonFirst, Map: m, Moves: moves, Cost: cost},
-		Record{Verdict: verdictMove, Reason: ReasonFirst, ImbalanceAfter: after, Moves: len(moves), Cost: cost}
+	return Move{Reason: ReasonFirstPlacement, Map: m, Loads: moves, Cost: cost},
+		Record{Verdict: verdictMove, Reason: ReasonFirstPlacement, ImbalanceAfter: after, Loads: len(moves), Cost: cost}
 }
--- a/internal/decide/burdockexpert/popularity.go
+++ b/internal/decide/burdockexpert/popularity.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// Turning reports whether the newest counts of some layer break with those before
+// ShiftPending reports whether the newest counts of some layer break with those before
 // and have yet to be confirmed by the next.
-func (p *Popularity) Turning() bool {
+func (p *Popularity) ShiftPending() bool {
 	for i := range p.layers {
 		if p.layers[i].pending.total > 0 {
 			return true
@@ -51,9 +51,9 @@
 	return false
 }
 
-// Unclear reports whether the newest counts of some layer break with those before
+// ShiftMixed reports whether the newest counts of some layer break with those before
 // and are partly of before, so that they stand for neither.
-func (p *Popularity) Unclear() bool {
+func (p *Popularity) ShiftMixed() bool {
 	for i := range p.layers {
 		if p.layers[i].pending.total > 0 && p.layers[i].mixed {
 			return true
@@ -75,9 +75,9 @@
 // Snapshot returns the present estimate.
 func (p *Popularity) Snapshot() Snapshot { return p.snapshot((*layerCounts).estimate) }
 
-// Newest is Snapshot with counts that break with those before taken for the
+// ProvisionalSnapshot is Snapshot with counts that break with those before taken for the
 // popularity at once, before the next confirm it.
-func (p *Popularity) Newest() Snapshot { return p.snapshot((*layerCounts).newest) }
+func (p *Popularity) ProvisionalSnapshot() Snapshot { return p.snapshot((*layerCounts).newest) }
 
 func (p *Popularity) snapshot(estimate func(*layerCounts) (share, deviation []float64)) Snapshot {
 	s := Snapshot{Experts: p.experts}
--- a/internal/decide/burdockexpert/popularity_test.go
+++ b/internal/decide/burdockexpert/popularity_test.go
@@ -46,7 +46,7 @@
 }
 
 func TestStateNamesAreCamelCase(t *testing.T) {
-	p := New(Config{History: 1})
+	p := New(Config{MaxHistory: 1})
 	p.Plan(5, Input{})
 	p.Plan(6, Input{})
 	got, err := json.Marshal(p.State())
@@ -121,12 +121,12 @@
 			d.weights[0][e] = (1-part)*before[e] + part*after.truth().Share[0][e]
 		}
 		d.observe(p, 20*scenarioWindow, 1)
-		if !p.Turning() {
+		if !p.ShiftPending() {
 			t.Errorf("swap after %.2f of a window: not turning, want it to wait for the next window", 1-part)
 		}
 		d.weights = after.weights
 		d.observe(p, 21*scenarioWindow, 1)
-		if p.Turning() {
+		if p.ShiftPending() {
 			t.Errorf("swap after %.2f of a window: turning still, want it confirmed", 1-part)
 		}
 		if got := distance(p.Snapshot().Share[0], d.truth().Share[0]); got > 0.05 {
@@ -180,10 +180,10 @@
 			mixed[e] = burdockid.Tokens(1e6 * (c.old*before[e] + (1-c.old)*after[e]))
 		}
 		p.Observe(20*scenarioWindow, 0, mixed)
-		if got := p.Unclear(); got != c.unclear {
+		if got := p.ShiftMixed(); got != c.unclear {
 			t.Errorf("%s: got unclear %t, want %t", c.name, got, c.unclear)
 		}
-		if got := distance(p.Newest().Share[0], after); !c.unclear && got > 0.02 {
+		if got := distance(p.ProvisionalSnapshot().Share[0], after); !c.unclear && got > 0.02 {
 			t.Errorf("%s: distance of the newest: got %.3f, want at most 0.02", c.name, got)
 		}
 		if got := distance(p.Snapshot().Share[0], before); got > 0.02 {
--- a/internal/decide/burdockexpert/property_test.go
+++ b/internal/decide/burdockexpert/property_test.go
@@ -31,9 +31,9 @@
 	ranks[0].Slots += max(0, s.Experts-room)
 	in := testInput(anyPopularity(t, s), anyMap(t, s), ranks)
 	in.Weights = Weights{Skew: rapid.Float64Range(0.01, 100).Draw(t, "skew"), Cost: rapid.Float64Range(0.01, 100).Draw(t, "cost")}
-	in.Hold = burdockclock.Millis(rapid.IntRange(0, 10_000_000).Draw(t, "hold"))
+	in.Horizon = burdockclock.Millis(rapid.IntRange(0, 10_000_000).Draw(t, "hold"))
 	if rapid.Bool().Draw(t, "usable") {
-		in.Present = Solve(anyPopularity(t, s), ranks)
+		in.Current = Solve(anyPopularity(t, s), ranks)
 	}
 	return in
 }
@@ -56,14 +56,14 @@
 		l := rapid.IntRange(0, s.Layers-1).Draw(t, "layer")
 		r := rapid.IntRange(0, s.Ranks-1).Draw(t, "rank")
 		e := rapid.IntRange(0, s.Experts-1).Draw(t, "expert")
-		m.Hold(burdockid.Layer(l), burdockid.Rank(r), burdockid.Expert(e))
+		m.Add(burdockid.Layer(l), burdockid.Rank(r), burdockid.Expert(e))
 	}
 	return m
 }
 
 // objective is what a planner lowers, for a map reached by so many moves.
 func objective(in Input, m *Map, moves int) float64 {
-	lost := (mean(Imbalance(m, in.Popularity, in.Ranks)) - 1) * float64(in.Hold)
+	lost := (mean(Imbalance(m, in.Popularity, in.Ranks)) - 1) * float64(in.Horizon)
 	return in.Weights.Skew*lost + in.Weights.Cost*float64(moves)*in.perMove()
 }
 
@@ -72,10 +72,10 @@
 		in := anyInput(t)
 		switch d := New(Config{}).Plan(0, in).(type) {
 		case Stay:
-			if d.Reason == ReasonInput || d.Reason == ReasonFault {
+			if d.Reason == ReasonInputInvalid || d.Reason == ReasonPlannerFault {
 				t.Fatalf("Stay for %s: %v", d.Reason, d.Findings.Err())
 			}
-			if list := in.Present.Check(in.Ranks); list.Err() != nil {
+			if list := in.Current.Check(in.Ranks); list.Err() != nil {
 				t.Fatalf("stays on an unusable map:\n%v", list.Err())
 			}
 		case Move:
@@ -88,22 +88,22 @@
 	if list := d.Map.Check(in.Ranks); list.Err() != nil {
 		t.Fatalf("map has findings:\n%v", list.Err())
 	}
-	for _, load := range d.Moves {
+	for _, load := range d.Loads {
 		if !d.Map.Holds(load.Layer, load.Rank, load.Expert) {
 			t.Fatalf("fetches %+v, which the map does not name", load)
 		}
-		if in.Present.Holds(load.Layer, load.Rank, load.Expert) && !in.Ranks[load.Rank].Empty {
+		if in.Current.Holds(load.Layer, load.Rank, load.Expert) && !in.Ranks[load.Rank].Empty {
 			t.Fatalf("fetches %+v, which the rank holds", load)
 		}
 	}
 	if d.Saving < 0 {
 		t.Fatalf("saving = %d, want 0 or more", d.Saving)
 	}
-	if d.Reason != ReasonSkew {
+	if d.Reason != ReasonSavingOutweighsCost {
 		return
 	}
 	const slack = 1e-6 // for rounding
-	before, after := objective(in, in.Present, 0), objective(in, d.Map, len(d.Moves))
+	before, after := objective(in, in.Current, 0), objective(in, d.Map, len(d.Loads))
 	if after > before*(1+slack) {
 		t.Fatalf("objective goes from %g to %g", before, after)
 	}
@@ -125,8 +125,8 @@
 		for r := range in.Ranks {
 			in.Ranks[r].Empty = false
 		}
-		in.Present = Solve(in.Popularity, in.Ranks)
-		in.Hold = 0
+		in.Current = Solve(in.Popularity, in.Ranks)
+		in.Horizon = 0
 		if got, ok := New(Config{}).Plan(0, in).(Stay); !ok {
 			t.Fatalf("Plan = %+v, want a Stay when nothing lasts", got)
 		}
@@ -135,7 +135,7 @@
 
 func TestEncodeDecode(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		want := anyInput(t).Present
+		want := anyInput(t).Current
 		b, err := want.Encode()
 		if err != nil {
 			t.Fatal(err)
--- a/internal/decide/burdockexpert/scenario_test.go
+++ b/internal/decide/burdockexpert/scenario_test.go
@@ -66,7 +66,7 @@
 		}
 		truth := d.truth()
 		out.lost += in.Weights.Skew * (mean(Imbalance(present, truth, in.Ranks)) - 1) * float64(scenarioWindow) / millisPerSecond
-		out.ratios = append(out.ratios, mean(Imbalance(present, truth, in.Ranks))/mean(Bound(truth, in.Ranks)))
+		out.ratios = append(out.ratios, mean(Imbalance(present, truth, in.Ranks))/mean(LowerBound(truth, in.Ranks)))
 	}
 	return out
 }
@@ -76,11 +76,11 @@
 	if list := move.Map.Check(in.Ranks); list.Err() != nil {
 		t.Fatalf("window %d: map has findings:\n%v", window, list.Err())
 	}
-	o.moves += len(move.Moves)
+	o.moves += len(move.Loads)
 	o.lost += in.Weights.Cost * float64(move.Cost) / millisPerSecond
 	rec := p.State().Decisions[len(p.State().Decisions)-1]
 	o.log = append(o.log, fmt.Sprintf("window %d: %s, imbalance %.3f to %.3f, %d moves, %d ms",
-		window, move.Reason, rec.ImbalanceBefore, rec.ImbalanceAfter, len(move.Moves), move.Cost))
+		window, move.Reason, rec.ImbalanceBefore, rec.ImbalanceAfter, len(move.Loads), move.Cost))
 }
 
 func (o *outcome) worst(from int) float64 { return slices.Max(o.ratios[from:]) }
@@ -205,16 +205,16 @@
 	ranks := evenRanks(scenarioRanks, scenarioSlots)
 	present := Solve(truth, ranks)
 	in := testInput(truth, present, ranks)
-	in.Weights, in.Hold = Weights{Skew: 1, Cost: 1e6}, 0
+	in.Weights, in.Horizon = Weights{Skew: 1, Cost: 1e6}, 0
 	in.Ranks[rank].Empty = true
 	move, ok := New(Config{}).Plan(0, in).(Move)
-	if !ok || move.Reason != ReasonNeed {
-		t.Fatalf("Plan = %+v, want a Move for %s", move, ReasonNeed)
+	if !ok || move.Reason != ReasonMapUnusable {
+		t.Fatalf("Plan = %+v, want a Move for %s", move, ReasonMapUnusable)
 	}
 	if list := move.Map.Check(in.Ranks); list.Err() != nil {
 		t.Errorf("map has findings:\n%v", list.Err())
 	}
-	if got, want := len(move.Moves), held(present, rank, alone(present)); got != want {
+	if got, want := len(move.Loads), held(present, rank, alone(present)); got != want {
 		t.Errorf("moves = %d, want the %d experts that only the rank held", got, want)
 	}
 }
@@ -227,8 +227,8 @@
 	in := testInput(truth, Solve(truth, evenRanks(scenarioRanks, scenarioSlots)), evenRanks(scenarioRanks, scenarioSlots))
 	in.Ranks[rank].Slots, in.Ranks[rank].Empty = 0, true
 	move, ok := New(Config{}).Plan(0, in).(Move)
-	if !ok || move.Reason != ReasonNeed {
-		t.Fatalf("Plan = %+v, want a Move for %s", move, ReasonNeed)
+	if !ok || move.Reason != ReasonMapUnusable {
+		t.Fatalf("Plan = %+v, want a Move for %s", move, ReasonMapUnusable)
 	}
 	if list := move.Map.Check(in.Ranks); list.Err() != nil {
 		t.Errorf("map has findings:\n%v", list.Err())
@@ -241,8 +241,8 @@
 	truth := newDrift(7, scenarioLayers, scenarioExperts).truth()
 	in := testInput(truth, Solve(truth, evenRanks(scenarioRanks, scenarioSlots)), evenRanks(scenarioRanks, 3))
 	stay, ok := New(Config{}).Plan(0, in).(Stay)
-	if !ok || stay.Reason != ReasonInput {
-		t.Fatalf("Plan = %+v, want a Stay for %s", stay, ReasonInput)
+	if !ok || stay.Reason != ReasonInputInvalid {
+		t.Fatalf("Plan = %+v, want a Stay for %s", stay, ReasonInputInvalid)
 	}
 	want := "ranks: have 48 slots together; want at least 64"
 	if err := stay.Findings.Err(); err == nil || err.Error() != want {
--- a/internal/decide/burdockexpert/skew.go
+++ b/internal/decide/burdockexpert/skew.go
@@ -28,11 +28,11 @@
 	return imbalances
 }
 
-// Bound returns for each layer an imbalance that no map can beat. Two limits
+// LowerBound returns for each layer an imbalance that no map can beat. Two limits
 // make it: the load can't be spread better than evenly, which is 1; and each
 // replica carries its expert's share over the number of its replicas, of which
 // the ranks have memory for so many and a rank holds no two of one expert.
-func Bound(s Snapshot, ranks []Rank) []float64 {
+func LowerBound(s Snapshot, ranks []Rank) []float64 {
 	slots, speeds, fastest, present := 0, 0.0, 0.0, 0
 	for _, rank := range ranks {
 		if rank.Slots <= 0 {
--- a/internal/decide/burdockexpert/state.go
+++ b/internal/decide/burdockexpert/state.go
@@ -22,21 +22,21 @@
 	Reason          Reason              `json:"reason"`
 	ImbalanceBefore float64             `json:"imbalanceBefore"`
 	ImbalanceAfter  float64             `json:"imbalanceAfter"`
-	Moves           int                 `json:"moves"`
+	Loads           int                 `json:"moves"`
 	Cost            burdockclock.Millis `json:"costMillis"`
 	Saving          burdockclock.Millis `json:"savingMillis"`
 }
 
 // State is what a planner shows in its process's state dump.
 type State struct {
-	NoiseMargin  float64  `json:"noiseMargin"`
-	LayerChanges int      `json:"layerChanges"`
-	TotalChanges int      `json:"totalChanges"`
-	Decisions    []Record `json:"decisions"` // the oldest first
+	NoiseMargin     float64  `json:"noiseMargin"`
+	MaxLayerChanges int      `json:"layerChanges"`
+	MaxTotalChanges int      `json:"totalChanges"`
+	Decisions       []Record `json:"decisions"` // the oldest first
 }
 
-// Last returns the newest decision, and the zero value if there is none.
-func (p *Planner) Last() Record {
+// LastDecision returns the newest decision, and the zero value if there is none.
+func (p *Planner) LastDecision() Record {
 	if len(p.history) == 0 {
 		return Record{}
 	}
@@ -46,16 +46,16 @@
 // State returns the planner's settings and its last decisions.
 func (p *Planner) State() State {
 	return State{
-		NoiseMargin:  p.cfg.NoiseMargin,
-		LayerChanges: p.cfg.LayerChanges,
-		TotalChanges: p.cfg.TotalChanges,
-		Decisions:    slices.Clone(p.history),
+		NoiseMargin:     p.cfg.NoiseMargin,
+		MaxLayerChanges: p.cfg.MaxLayerChanges,
+		MaxTotalChanges: p.cfg.MaxTotalChanges,
+		Decisions:       slices.Clone(p.history),
 	}
 }
 
 func (p *Planner) remember(rec Record) {
-	if len(p.history) >= p.cfg.History {
-		p.history = slices.Delete(p.history, 0, len(p.history)-p.cfg.History+1)
+	if len(p.history) >= p.cfg.MaxHistory {
+		p.history = slices.Delete(p.history, 0, len(p.history)-p.cfg.MaxHistory+1)
 	}
 	p.history = append(p.history, rec)
 }
--- a/internal/decide/burdockexpert/work.go
+++ b/internal/decide/burdockexpert/work.go
@@ -31,12 +31,12 @@
 	w := &work{
 		cfg:      cfg,
 		in:       in,
-		held:     in.Present.clone(),
+		held:     in.Current.clone(),
 		holds:    holds,
 		improved: make([]bool, len(holds)),
 		taken:    make([]int, len(in.Ranks)),
 		state:    newLayerState(in.shape(), in.Ranks),
-		refused:  ReasonEven,
+		refused:  ReasonNothingToGain,
 	}
 	for r, rank := range in.Ranks {
 		if rank.Empty {
@@ -82,14 +82,14 @@
 		order[l] = l
 	}
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(w.before[b], w.before[a]) })
-	budget := w.cfg.TotalChanges
+	budget := w.cfg.MaxTotalChanges
 	evictable := make([]int, w.base.shape.Ranks)
 	for _, l := range order {
 		if budget <= 0 {
 			break
 		}
 		w.bound()
-		budget -= w.improveLayer(l, min(budget, w.cfg.LayerChanges), evictable)
+		budget -= w.improveLayer(l, min(budget, w.cfg.MaxLayerChanges), evictable)
 	}
 }
 
@@ -97,11 +97,11 @@
 func (w *work) bound() {
 	for r, rank := range w.in.Ranks {
 		most := w.base.shape.Experts
-		if rank.MaxLoads > 0 {
-			most = rank.MaxLoads
+		if rank.MaxLayerLoads > 0 {
+			most = rank.MaxLayerLoads
 		}
-		if rank.MaxTotal > 0 {
-			most = min(most, rank.MaxTotal-w.taken[r])
+		if rank.MaxTotalLoads > 0 {
+			most = min(most, rank.MaxTotalLoads-w.taken[r])
 		}
 		w.state.most[r] = most
 	}
@@ -185,9 +185,9 @@
 // refuse notes why a layer stays: because of noise, or because of the cost.
 func (w *work) refuse(noise bool) {
 	if noise {
-		w.refused = ReasonNoise
-	} else if w.refused == ReasonEven {
-		w.refused = ReasonCost
+		w.refused = ReasonSavingWithinNoise
+	} else if w.refused == ReasonNothingToGain {
+		w.refused = ReasonCostOutweighsSaving
 	}
 }
 
@@ -206,7 +206,7 @@
 // decision compares the map made with the present one.
 func (w *work) decision() (Decision, Record) {
 	rec := Record{ImbalanceBefore: mean(w.before), ImbalanceAfter: mean(w.after)}
-	if !w.forced && w.next.Equal(w.in.Present) {
+	if !w.forced && w.next.Equal(w.in.Current) {
 		rec.Verdict, rec.Reason = verdictStay, w.refused
 		return Stay{Reason: w.refused}, rec
 	}
@@ -215,22 +215,22 @@
 	// search ever have a fault, the present map is the lesser harm; the
 	// findings reach the log and the randomised tests.
 	if list := w.next.Check(w.in.Ranks); list.Err() != nil {
-		rec.Verdict, rec.Reason = verdictStay, ReasonFault
-		return Stay{Reason: ReasonFault, Findings: list}, rec
+		rec.Verdict, rec.Reason = verdictStay, ReasonPlannerFault
+		return Stay{Reason: ReasonPlannerFault, Findings: list}, rec
 	}
-	reason := ReasonSkew
+	reason := ReasonSavingOutweighsCost
 	if w.forced {
-		reason = ReasonNeed
+		reason = ReasonMapUnusable
 	}
-	moves := Loads(w.held, w.next)
+	moves := RequiredLoads(w.held, w.next)
 	move := Move{
 		Reason: reason,
 		Map:    w.next,
-		Moves:  moves,
+		Loads:  moves,
 		Cost:   w.in.moveCost(len(moves)),
 		Saving: burdockclock.Millis(w.saved),
 	}
 	rec.Verdict, rec.Reason = verdictMove, reason
-	rec.Moves, rec.Cost, rec.Saving = len(moves), move.Cost, move.Saving
+	rec.Loads, rec.Cost, rec.Saving = len(moves), move.Cost, move.Saving
 	return move, rec
 }
--- a/internal/measure/burdockexpertlab/command.go
+++ b/internal/measure/burdockexpertlab/command.go
@@ -128,7 +128,7 @@
 		Weights:     cfg.Weights,
 		ExpertBytes: cfg.ExpertBytes,
 		StoreRate:   cfg.StoreRate,
-		Hold:        cfg.Hold,
+		Horizon:     cfg.Hold,
 	}
 	list.Merge(in.Check())
 	return list
--- a/internal/measure/burdockexpertlab/policy.go
+++ b/internal/measure/burdockexpertlab/policy.go
@@ -61,7 +61,7 @@
 			p.take(burdockexpert.Solve(in.Popularity, in.Ranks), cfg)
 		}
 	case planned:
-		in.Present, in.Weights = p.present, pol.weights
+		in.Current, in.Weights = p.present, pol.weights
 		now := burdockclock.Millis(step+1) * cfg.Window
 		if move, ok := pol.planner.Plan(now, in).(burdockexpert.Move); ok {
 			p.take(move.Map, cfg)
@@ -71,7 +71,7 @@
 
 // take counts what a change of map costs and makes it.
 func (p *player) take(m *burdockexpert.Map, cfg Config) {
-	n := len(burdockexpert.Loads(p.present, m))
+	n := len(burdockexpert.RequiredLoads(p.present, m))
 	p.present = m
 	if n == 0 {
 		return
--- a/internal/measure/burdockexpertlab/run.go
+++ b/internal/measure/burdockexpertlab/run.go
@@ -163,7 +163,7 @@
 	popularity := burdockexpert.NewPopularity(r.cfg.Layers, r.cfg.Experts, r.cfg.HalfLife)
 	for step := range r.cfg.Steps {
 		truth := r.source.truth(step)
-		r.bounds = append(r.bounds, mean(burdockexpert.Bound(truth, ranks)))
+		r.bounds = append(r.bounds, mean(burdockexpert.LowerBound(truth, ranks)))
 		for l := range burdockid.Layer(r.cfg.Layers) {
 			popularity.Observe(burdockclock.Millis(step+1)*r.cfg.Window, l, r.source.counts(truth.Share[l]))
 		}
@@ -181,7 +181,7 @@
 		Ranks:       ranks,
 		ExpertBytes: r.cfg.ExpertBytes,
 		StoreRate:   r.cfg.StoreRate,
-		Hold:        r.cfg.Hold,
+		Horizon:     r.cfg.Hold,
 	}
 }
 
--- a/internal/serve/burdockhosted/engine.go
+++ b/internal/serve/burdockhosted/engine.go
@@ -285,7 +285,7 @@
 	m := burdockexpert.NewMap(burdockexpert.Shape{Layers: spec.Layers, Ranks: ranks, Experts: spec.Experts})
 	for l := range spec.Layers {
 		for e := range spec.Experts {
-			m.Hold(burdockid.Layer(l), burdockid.Rank(e%ranks), burdockid.Expert(e))
+			m.Add(burdockid.Layer(l), burdockid.Rank(e%ranks), burdockid.Expert(e))
 		}
 	}
 	return m.Encode()
--- a/internal/serve/burdockhosted/schedule_test.go
+++ b/internal/serve/burdockhosted/schedule_test.go
@@ -401,7 +401,7 @@
 func (s *schedule) content() []byte {
 	m := burdockexpert.NewMap(burdockexpert.Shape{Layers: 1, Ranks: len(s.ranks), Experts: 4})
 	for e := range 4 {
-		m.Hold(0, burdockid.Rank(s.random.IntN(len(s.ranks))), burdockid.Expert(e))
+		m.Add(0, burdockid.Rank(s.random.IntN(len(s.ranks))), burdockid.Expert(e))
 	}
 	content, err := m.Encode()
 	if err != nil {
--- a/internal/serve/burdockrank/held.go
+++ b/internal/serve/burdockrank/held.go
@@ -134,7 +134,7 @@
 	for r, layers := range answers {
 		for l, experts := range layers {
 			for _, e := range experts {
-				m.Hold(burdockid.Layer(l), burdockid.Rank(r), e)
+				m.Add(burdockid.Layer(l), burdockid.Rank(r), e)
 			}
 		}
 	}
--- a/internal/serve/burdockrank/planning.go
+++ b/internal/serve/burdockrank/planning.go
@@ -146,7 +146,7 @@
 		return nil
 	}
 	in := p.input(state, experts)
-	if in.Present == nil && !p.needFirst {
+	if in.Current == nil && !p.needFirst {
 		return nil // a map is in use whose content has not come yet
 	}
 	move, ok := p.planner.Plan(now, in).(burdockexpert.Move)
@@ -161,8 +161,8 @@
 	}
 	p.wishedAt, p.needFirst = now, false
 	p.duty.member.deps.Log.Info("another map is wanted", zap.String("group", p.duty.member.seat.Group),
-		zap.String("reason", string(move.Reason)), zap.Int("moves", len(move.Moves)), zap.Int("bytes", len(content)),
-		zap.Float64("imbalance", p.planner.Last().ImbalanceBefore), zap.Float64("expected", p.planner.Last().ImbalanceAfter))
+		zap.String("reason", string(move.Reason)), zap.Int("moves", len(move.Loads)), zap.Int("bytes", len(content)),
+		zap.Float64("imbalance", p.planner.LastDecision().ImbalanceBefore), zap.Float64("expected", p.planner.LastDecision().ImbalanceAfter))
 	return content
 }
 
@@ -184,15 +184,15 @@
 // turning reports whether the newest counts don't tell yet what the popularity is.
 func (p *planning) turning() bool {
 	if p.duty.member.deps.Pace.TurnAtOnce {
-		return p.popularity.Unclear()
+		return p.popularity.ShiftMixed()
 	}
-	return p.popularity.Turning()
+	return p.popularity.ShiftPending()
 }
 
 // known returns the popularity to plan on.
 func (p *planning) known() burdockexpert.Snapshot {
 	if p.duty.member.deps.Pace.TurnAtOnce {
-		return p.popularity.Newest()
+		return p.popularity.ProvisionalSnapshot()
 	}
 	return p.popularity.Snapshot()
 }
@@ -221,7 +221,7 @@
 	in := burdockexpert.Input{
 		Popularity: p.known(),
 		Weights:    burdockexpert.Weights{Skew: max(experts.SkewWeight, leastWeight), Cost: max(experts.CostWeight, leastWeight)},
-		Hold:       experts.HoldMillis,
+		Horizon:    experts.HoldMillis,
 	}
 	known := burdockengine.GroupCounts{}
 	for _, c := range p.counts {
@@ -239,13 +239,13 @@
 			c = known // engines of one group are of one kind
 		}
 		in.Ranks = append(in.Ranks, burdockexpert.Rank{
-			Slots: c.Slots, MaxLoads: known.MaxLoads, MaxTotal: most,
+			Slots: c.Slots, MaxLayerLoads: known.MaxLoads, MaxTotalLoads: most,
 			Speed: float64(p.speeds[r]),
 			Empty: r < len(state.Ranks) && state.Ranks[r].Engine.Base == 0,
 		})
 	}
 	if state.Goal.Base != 0 && !p.needFirst {
-		in.Present = p.present(state.Goal)
+		in.Current = p.present(state.Goal)
 	}
 	return in
 }
--- a/internal/serve/burdockrank/relay_test.go
+++ b/internal/serve/burdockrank/relay_test.go
@@ -186,8 +186,8 @@
 	base, next := burdockexpert.NewMap(shape), burdockexpert.NewMap(shape)
 	for l := range burdockid.Layer(shape.Layers) {
 		for e := range burdockid.Expert(shape.Experts) {
-			base.Hold(l, burdockid.Rank(int(e)%shape.Ranks), e)
-			next.Hold(l, burdockid.Rank((int(e)+int(e)%5)%shape.Ranks), e)
+			base.Add(l, burdockid.Rank(int(e)%shape.Ranks), e)
+			next.Add(l, burdockid.Rank((int(e)+int(e)%5)%shape.Ranks), e)
 		}
 	}
 	content, err := base.Encode()
--- a/internal/serve/burdockrank/speeds_test.go
+++ b/internal/serve/burdockrank/speeds_test.go
@@ -64,9 +64,9 @@
 	in := p.input(burdockgroup.ControllerState{}, burdockprofile.Experts{SkewWeight: 1, CostWeight: 0.1, HoldMillis: 60_000})
 	present := burdockexpert.NewMap(burdockexpert.Shape{Layers: 1, Ranks: ranks, Experts: experts})
 	for e := range experts {
-		present.Hold(0, burdockid.Rank(e%ranks), burdockid.Expert(e))
+		present.Add(0, burdockid.Rank(e%ranks), burdockid.Expert(e))
 	}
-	in.Present = present
+	in.Current = present
 	move, ok := burdockexpert.New(burdockexpert.Config{}).Plan(10_000, in).(burdockexpert.Move)
 	if !ok {
 		t.Fatal("no other map is wanted")
