--- a/internal/decide/burdockqueue/admit.go
+++ b/internal/decide/burdockqueue/admit.go
@@ -26,7 +26,7 @@
 // Load: a backlog beyond what the engine serves in time. Harm prevented: the
 // caller waits for an answer that will not come, instead of asking elsewhere
 // or later, and the queue holds work that is dropped in the end.
-func (q *Queue) hopeless(w Work, expected burdockclock.Millis) Reason {
+func (q *Queue) hopeless(w Request, expected burdockclock.Millis) Reason {
 	if q.paused {
 		expected = 0
 	}
@@ -48,7 +48,7 @@
 
 // blame returns ReasonOverShare in place of reason if the wait is due to the
 // customer's own backlog.
-func (q *Queue) blame(w Work, reason Reason) Reason {
+func (q *Queue) blame(w Request, reason Reason) Reason {
 	c := q.classes[w.Class]
 	f, ok := c.flows[w.Customer]
 	if !ok || f.queued == 0 || len(c.byStart.items) < 2 {
@@ -62,7 +62,7 @@
 
 // crowding reports whether the customer would hold more than its share of the
 // places in a queue that fills up.
-func (q *Queue) crowding(w Work) bool {
+func (q *Queue) crowding(w Request) bool {
 	if float64(q.queued) < saturatedShare*float64(q.cfg.MaxQueued) {
 		return false
 	}
@@ -81,7 +81,7 @@
 // Load: full saturation, the queue at its bound. Harm prevented: urgent work
 // is refused because less urgent work came first, or a small customer because
 // a large one did. The displaced work was not run and is told so at once.
-func (q *Queue) makeRoom(w Work) Reason {
+func (q *Queue) makeRoom(w Request) Reason {
 	if q.queued < q.cfg.MaxQueued {
 		return ReasonNone
 	}
@@ -93,7 +93,7 @@
 	return ReasonNone
 }
 
-func (q *Queue) victimFor(w Work) (*item, bool) {
+func (q *Queue) victimFor(w Request) (*item, bool) {
 	for i := Class(len(q.classes) - 1); i > w.Class; i-- {
 		if it, ok := q.classes[i].last(); ok {
 			return it, true
@@ -110,7 +110,7 @@
 }
 
 // deadlineLost reports whether the deadline could not be met by a start now.
-func (q *Queue) deadlineLost(w Work) bool {
+func (q *Queue) deadlineLost(w Request) bool {
 	if w.Deadline > 0 && q.paused {
 		return q.now > w.Deadline
 	}
@@ -119,7 +119,7 @@
 
 // expectedWait returns how long w would wait if it were queued now: for the
 // next slot to come free, and for the queued work ahead of it.
-func (q *Queue) expectedWait(w Work) burdockclock.Millis {
+func (q *Queue) expectedWait(w Request) burdockclock.Millis {
 	if q.slotRate() <= 0 {
 		return 0
 	}
@@ -141,7 +141,7 @@
 }
 
 // aheadInClass returns the tokens of the class that are served before w.
-func (q *Queue) aheadInClass(w Work) float64 {
+func (q *Queue) aheadInClass(w Request) float64 {
 	c := q.classes[w.Class]
 	weight := q.cfg.share(w.Customer)
 	active := c.activeWeight
@@ -161,12 +161,12 @@
 	for i, c := range q.classes {
 		switch {
 		case Class(i) < class:
-			left -= max(c.starts.rate(q.now), slot*float64(c.cfg.KeptSlots))
+			left -= max(c.starts.rate(q.now), slot*float64(c.cfg.ReservedSlots))
 		case Class(i) > class:
 			left -= c.starvationRate()
 		}
 	}
-	kept := slot * float64(min(q.classes[class].cfg.KeptSlots, q.cfg.Slots))
+	kept := slot * float64(min(q.classes[class].cfg.ReservedSlots, q.cfg.Slots))
 	return max(left, kept, total*leastRateShare)
 }
 
@@ -175,7 +175,7 @@
 
 // serviceMillis returns how long w would hold a slot, as its class does: short
 // answers are slower by the token than long ones.
-func (q *Queue) serviceMillis(w Work) burdockclock.Millis {
+func (q *Queue) serviceMillis(w Request) burdockclock.Millis {
 	millis := q.classes[w.Class].service.millis(q.now, w.Cost)
 	if millis <= 0 {
 		millis = q.service.millis(q.now, w.Cost)
--- a/internal/decide/burdockqueue/bench_test.go
+++ b/internal/decide/burdockqueue/bench_test.go
@@ -42,7 +42,7 @@
 	c := &cycle{
 		q: New(Config{
 			Slots: slots, MaxQueued: 2 * length,
-			Classes: []ClassConfig{{KeptSlots: 2}, {MaxStarvation: 5 * burdockclock.Second}, {MaxStarvation: 5 * burdockclock.Second}},
+			Classes: []ClassConfig{{ReservedSlots: 2}, {MaxStarvation: 5 * burdockclock.Second}, {MaxStarvation: 5 * burdockclock.Second}},
 		}, rand.New(rand.NewPCG(1, 1))),
 		rnd: rand.New(rand.NewPCG(1, 2)),
 		now: 1000,
@@ -52,14 +52,14 @@
 	}
 	for c.q.Load().Queued < length {
 		c.offer()
-		c.take(c.q.Next(c.now))
+		c.take(c.q.Dispatch(c.now))
 	}
 	return c
 }
 
 func (c *cycle) offer() {
 	c.n++
-	w := Work{
+	w := Request{
 		ID:       burdockid.Request(strconv.Itoa(c.n)),
 		Customer: c.customers[c.rnd.IntN(len(c.customers))],
 		Class:    Class(c.rnd.IntN(3)),
@@ -84,5 +84,5 @@
 	c.offer()
 	c.q.Finish(c.now, c.running[0], 1000)
 	c.running = c.running[1:]
-	c.take(c.q.Next(c.now))
+	c.take(c.q.Dispatch(c.now))
 }
--- a/internal/decide/burdockqueue/cases_test.go
+++ b/internal/decide/burdockqueue/cases_test.go
@@ -18,7 +18,7 @@
 
 // Each file of testdata is a case: what the caller sees and why at its head,
 // then one call a line, "INSTANT CALL key=value ...", and under it the answers,
-// each after "->". The events of Next stand under the call that they follow.
+// each after "->". The events of Dispatch stand under the call that they follow.
 func TestCases(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
@@ -100,7 +100,7 @@
 			t.Fatalf("line %q: want an instant first", line)
 		}
 		call(t, &out, q, burdockclock.Millis(now), words[1], values, cfg)
-		q.Check()
+		q.CheckInvariants()
 	}
 	return out.String()
 }
@@ -111,7 +111,7 @@
 	switch {
 	case f["class"] != "":
 		cfg.Classes = append(cfg.Classes, ClassConfig{
-			Name: f["class"], MaxStarvation: f.millis("starvation"), MaxWait: f.millis("wait"), KeptSlots: int(f.number("kept")),
+			Name: f["class"], MaxStarvation: f.millis("starvation"), MaxWait: f.millis("wait"), ReservedSlots: int(f.number("kept")),
 		})
 	case f["customer"] != "":
 		cfg.Shares[burdockid.Customer(f["customer"])] = float64(f.number("share"))
@@ -126,7 +126,7 @@
 	id := burdockid.Request(f["id"])
 	switch name {
 	case "offer":
-		fmt.Fprintln(out, "->", describe(q.Offer(now, Work{
+		fmt.Fprintln(out, "->", describe(q.Offer(now, Request{
 			ID: id, Customer: burdockid.Customer(f["of"]), Class: Class(f.number("in")),
 			Cost: burdockid.Tokens(f.number("cost")), Deadline: f.millis("deadline"),
 		})))
@@ -146,7 +146,7 @@
 	default:
 		t.Fatalf("unknown call %q", name)
 	}
-	for _, e := range q.Next(now) {
+	for _, e := range q.Dispatch(now) {
 		fmt.Fprintln(out, "->", describe(e))
 	}
 }
--- a/internal/decide/burdockqueue/config.go
+++ b/internal/decide/burdockqueue/config.go
@@ -14,8 +14,8 @@
 	MaxStarvation burdockclock.Millis
 	// MaxWait bounds the wait of each request; 0 is no bound.
 	MaxWait burdockclock.Millis
-	// KeptSlots are slots that less urgent classes may not take.
-	KeptSlots int
+	// ReservedSlots are slots that less urgent classes may not take.
+	ReservedSlots int
 }
 
 // Config sets a queue.
--- a/internal/decide/burdockqueue/example_test.go
+++ b/internal/decide/burdockqueue/example_test.go
@@ -15,13 +15,13 @@
 		Classes:   []burdockqueue.ClassConfig{{Name: "urgent"}, {Name: "letters", MaxWait: burdockclock.Minute}},
 	}, rand.New(rand.NewPCG(1, 1)))
 
-	fmt.Printf("%T\n", q.Offer(0, burdockqueue.Work{ID: "draft", Customer: "acme", Class: 1, Cost: 900}))
-	fmt.Printf("%T\n", q.Offer(5, burdockqueue.Work{ID: "letter", Customer: "acme", Class: 1, Cost: 900}))
-	fmt.Printf("%T\n", q.Offer(9, burdockqueue.Work{ID: "payout", Customer: "bela", Class: 0, Cost: 40}))
-	fmt.Println(q.Next(9))
+	fmt.Printf("%T\n", q.Offer(0, burdockqueue.Request{ID: "draft", Customer: "acme", Class: 1, Cost: 900}))
+	fmt.Printf("%T\n", q.Offer(5, burdockqueue.Request{ID: "letter", Customer: "acme", Class: 1, Cost: 900}))
+	fmt.Printf("%T\n", q.Offer(9, burdockqueue.Request{ID: "payout", Customer: "bela", Class: 0, Cost: 40}))
+	fmt.Println(q.Dispatch(9))
 
 	q.Finish(2000, "draft", 870)
-	fmt.Println(q.Next(2000))
+	fmt.Println(q.Dispatch(2000))
 	// Output:
 	// burdockqueue.Start
 	// burdockqueue.Wait
--- a/internal/decide/burdockqueue/invariant.go
+++ b/internal/decide/burdockqueue/invariant.go
@@ -14,17 +14,17 @@
 	// InvariantCounts: each offer is refused, dropped, cancelled, finished,
 	// queued or running, exactly one of them, and the sums agree.
 	InvariantCounts Invariant = "counts add up"
-	// InvariantPlace: no request is in two places and none in no place.
-	InvariantPlace Invariant = "one place for each request"
+	// InvariantMembership: no request is in two places and none in no place.
+	InvariantMembership Invariant = "one place for each request"
 	// InvariantOrder: no class is started before a more urgent one that could
 	// start, unless its bound on starvation has passed.
 	InvariantOrder Invariant = "no priority inversion"
 	// InvariantShare: no backlogged customer is further from its share than the
 	// bound of its class.
 	InvariantShare Invariant = "shares kept"
-	// InvariantIdle: no slot is left free that queued work may take, and no
+	// InvariantWorkConserving: no slot is left free that queued work may take, and no
 	// queued work has expired.
-	InvariantIdle Invariant = "nothing due is left"
+	InvariantWorkConserving Invariant = "nothing due is left"
 )
 
 // InvariantError is the value of the panic when an invariant is broken. The
@@ -68,13 +68,13 @@
 	}
 }
 
-// checkNothingDue is for the end of Next.
+// checkNothingDue is for the end of Dispatch.
 func (q *Queue) checkNothingDue() {
 	if class, ok := q.pickClass(); ok {
-		broken(InvariantIdle, "class %d has queued work and a free slot", class)
+		broken(InvariantWorkConserving, "class %d has queued work and a free slot", class)
 	}
 	if it, ok := q.expiry.first(); ok && it.judgeAt <= q.now {
-		broken(InvariantIdle, "%s was to be judged at %d, now is %d", it.work.ID, it.judgeAt, q.now)
+		broken(InvariantWorkConserving, "%s was to be judged at %d, now is %d", it.work.ID, it.judgeAt, q.now)
 	}
 }
 
@@ -111,30 +111,30 @@
 	}
 }
 
-// Check asserts every invariant on every request and panics with an
+// CheckInvariants asserts every invariant on every request and panics with an
 // *InvariantError if one is broken. Its cost grows with the length of the
 // queue: it is for tests and randomised runs. The cheap part runs in each call
-// of Next.
-func (q *Queue) Check() {
+// of Dispatch.
+func (q *Queue) CheckInvariants() {
 	q.checkCounts()
 	seen := 0
 	for i, c := range q.classes {
 		seen += q.checkClass(Class(i), c)
 	}
 	if !q.expiry.ordered() || !q.running.byEnd.ordered() {
-		broken(InvariantPlace, "expiry or ends are out of order")
+		broken(InvariantMembership, "expiry or ends are out of order")
 	}
 	for _, it := range q.running.byEnd.items {
 		if it.place != placeRunning || q.items[it.work.ID] != it {
-			broken(InvariantPlace, "%s is running, but filed elsewhere", it.work.ID)
+			broken(InvariantMembership, "%s is running, but filed elsewhere", it.work.ID)
 		}
 		if it.expiryIndex != notInHeap {
-			broken(InvariantPlace, "%s is running and may expire", it.work.ID)
+			broken(InvariantMembership, "%s is running and may expire", it.work.ID)
 		}
 		seen++
 	}
 	if seen != len(q.items) {
-		broken(InvariantPlace, "%d found in their places, %d known", seen, len(q.items))
+		broken(InvariantMembership, "%d found in their places, %d known", seen, len(q.items))
 	}
 }
 
@@ -146,13 +146,13 @@
 		cost := burdockid.Tokens(0)
 		for it := f.head; it != nil; it = it.next {
 			if it.place != placeQueued || it.flow != f || q.items[it.work.ID] != it || it.work.Class != class {
-				broken(InvariantPlace, "%s is queued, but filed elsewhere", it.work.ID)
+				broken(InvariantMembership, "%s is queued, but filed elsewhere", it.work.ID)
 			}
 			if it.expiryIndex == notInHeap || q.expiry.items[it.expiryIndex] != it {
-				broken(InvariantPlace, "%s is queued and never expires", it.work.ID)
+				broken(InvariantMembership, "%s is queued and never expires", it.work.ID)
 			}
 			if it.judgeAt > it.expires {
-				broken(InvariantPlace, "%s expires at %d and is judged only at %d", it.work.ID, it.expires, it.judgeAt)
+				broken(InvariantMembership, "%s expires at %d and is judged only at %d", it.work.ID, it.expires, it.judgeAt)
 			}
 			inFlow++
 			cost += charged(it.work.Cost)
@@ -165,7 +165,7 @@
 		seen += inFlow
 	}
 	if !c.byStart.ordered() || !c.byTail.ordered() || !c.idle.ordered() {
-		broken(InvariantPlace, "customers of class %d are out of order", class)
+		broken(InvariantMembership, "customers of class %d are out of order", class)
 	}
 	if seen != c.queued || len(c.byTail.items) != len(c.byStart.items) {
 		broken(InvariantCounts, "class %d holds %d, counted %d", class, seen, c.queued)
--- a/internal/decide/burdockqueue/invariant_test.go
+++ b/internal/decide/burdockqueue/invariant_test.go
@@ -22,21 +22,21 @@
 		{"sum of the costs", func(q *Queue) { q.queuedCost++ }, InvariantCounts},
 		{"ended twice", func(q *Queue) { q.counts.finished++ }, InvariantCounts},
 		{"flow's sum", func(q *Queue) { q.items["w1"].flow.queuedCost++ }, InvariantCounts},
-		{"two places", func(q *Queue) { q.items["w1"].place = placeRunning }, InvariantPlace},
-		{"other class", func(q *Queue) { q.items["w1"].work.Class = 0 }, InvariantPlace},
-		{"never expires", func(q *Queue) { q.items["w1"].expiryIndex = notInHeap }, InvariantPlace},
-		{"judged too late", func(q *Queue) { q.items["w1"].expires = 0 }, InvariantPlace},
-		{"running and expiring", func(q *Queue) { q.items["run"].expiryIndex = 0 }, InvariantPlace},
+		{"two places", func(q *Queue) { q.items["w1"].place = placeRunning }, InvariantMembership},
+		{"other class", func(q *Queue) { q.items["w1"].work.Class = 0 }, InvariantMembership},
+		{"never expires", func(q *Queue) { q.items["w1"].expiryIndex = notInHeap }, InvariantMembership},
+		{"judged too late", func(q *Queue) { q.items["w1"].expires = 0 }, InvariantMembership},
+		{"running and expiring", func(q *Queue) { q.items["run"].expiryIndex = 0 }, InvariantMembership},
 		{"share", func(q *Queue) { q.items["w1"].flow.virtual += 1e6 }, InvariantShare},
-		{"free slot", func(q *Queue) { q.cfg.Slots++; q.checkNothingDue() }, InvariantIdle},
-		{"expired", func(q *Queue) { q.now += burdockclock.Hour; q.checkNothingDue() }, InvariantIdle},
+		{"free slot", func(q *Queue) { q.cfg.Slots++; q.checkNothingDue() }, InvariantWorkConserving},
+		{"expired", func(q *Queue) { q.now += burdockclock.Hour; q.checkNothingDue() }, InvariantWorkConserving},
 		{"inversion", func(q *Queue) { q.cfg.Slots++; q.checkOrder(1) }, InvariantOrder},
 		{"no slot", func(q *Queue) { q.checkOrder(0) }, InvariantOrder},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			q := New(Config{Slots: 1, MaxQueued: 9, Classes: []ClassConfig{{}, {MaxWait: 1000}}}, rand.New(rand.NewPCG(1, 1)))
-			for _, w := range []Work{
+			for _, w := range []Request{
 				{ID: "run", Customer: "a", Class: 1, Cost: 10},
 				{ID: "w0", Customer: "a", Class: 0, Cost: 10},
 				{ID: "w1", Customer: "a", Class: 1, Cost: 10},
@@ -44,7 +44,7 @@
 			} {
 				q.Offer(1000, w)
 			}
-			q.Check()
+			q.CheckInvariants()
 			defer func() {
 				var got *InvariantError
 				err, _ := recover().(error)
@@ -53,7 +53,7 @@
 				}
 			}()
 			test.damage(q)
-			q.Check()
+			q.CheckInvariants()
 		})
 	}
 }
--- a/internal/decide/burdockqueue/machine_test.go
+++ b/internal/decide/burdockqueue/machine_test.go
@@ -54,14 +54,14 @@
 			Name:          fmt.Sprint(i),
 			MaxStarvation: rapid.SampledFrom([]burdockclock.Millis{0, 1, 500}).Draw(t, "starvation"),
 			MaxWait:       rapid.SampledFrom([]burdockclock.Millis{0, 100, 5000}).Draw(t, "wait"),
-			KeptSlots:     rapid.IntRange(0, 3).Draw(t, "kept"),
+			ReservedSlots: rapid.IntRange(0, 3).Draw(t, "kept"),
 		})
 	}
 	return cfg
 }
 
-func drawWork(t *rapid.T, now burdockclock.Millis, n int) Work {
-	w := Work{
+func drawWork(t *rapid.T, now burdockclock.Millis, n int) Request {
+	w := Request{
 		ID:       burdockid.Request(fmt.Sprint("r", n)),
 		Customer: burdockid.Customer(rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f", "g"}).Draw(t, "customer")),
 		Class:    Class(rapid.IntRange(-1, 3).Draw(t, "class")),
@@ -132,7 +132,7 @@
 			"pass": func(t *rapid.T) { now += burdockclock.Millis(rapid.IntRange(0, 3000).Draw(t, "span")) },
 			"setBack": func(t *rapid.T) {
 				before := q.State().Now
-				m.apply(t, q.Next(now-500))
+				m.apply(t, q.Dispatch(now-500))
 				if got := q.State().Now; got < before {
 					t.Fatalf("Now = %d after %d, want no step back", got, before)
 				}
@@ -150,8 +150,8 @@
 				}
 			},
 			"": func(t *rapid.T) {
-				m.apply(t, q.Next(now))
-				q.Check()
+				m.apply(t, q.Dispatch(now))
+				q.CheckInvariants()
 				load := q.Load()
 				if load.Queued != len(m.queued) || load.Running != len(m.running) {
 					t.Fatalf("Load() = %+v, want %d queued and %d running", load, len(m.queued), len(m.running))
@@ -180,13 +180,13 @@
 		}
 		q := New(cfg, rand.New(rand.NewPCG(1, 2)))
 		now, n := burdockclock.Millis(1000), 0
-		works := map[burdockid.Request]Work{}
+		works := map[burdockid.Request]Request{}
 		service := map[burdockid.Customer]float64{} // of ended work, and the charge of what runs
-		var running []Work
+		var running []Request
 		greatest := 1.0
 		offer := func(name burdockid.Customer) {
 			n++
-			w := Work{ID: burdockid.Request(fmt.Sprint(n)), Customer: name, Cost: burdockid.Tokens(rapid.IntRange(1, 500).Draw(t, "cost"))}
+			w := Request{ID: burdockid.Request(fmt.Sprint(n)), Customer: name, Cost: burdockid.Tokens(rapid.IntRange(1, 500).Draw(t, "cost"))}
 			works[w.ID] = w
 			greatest = max(greatest, float64(w.Cost))
 			if _, ok := q.Offer(now, w).(Start); ok {
@@ -210,12 +210,12 @@
 			service[ended.Customer] += float64(served - ended.Cost)
 			running = append(running[:i], running[i+1:]...)
 			q.Finish(now, ended.ID, served)
-			for _, e := range q.Next(now) {
+			for _, e := range q.Dispatch(now) {
 				w := works[e.(Started).ID]
 				running = append(running, w)
 				service[w.Customer] += float64(w.Cost)
 			}
-			q.Check()
+			q.CheckInvariants()
 			bound := float64(slots) * greatest
 			for i, a := range names {
 				for _, b := range names[:i] {
--- a/internal/decide/burdockqueue/order.go
+++ b/internal/decide/burdockqueue/order.go
@@ -11,7 +11,7 @@
 	return q.classes[class].next()
 }
 
-// anyStartable reports whether queued work is waiting for Next to start it.
+// anyStartable reports whether queued work is waiting for Dispatch to start it.
 func (q *Queue) anyStartable() bool {
 	_, ok := q.pickClass()
 	return ok
@@ -62,7 +62,7 @@
 func (q *Queue) keptFrom(class Class) int {
 	kept := 0
 	for _, c := range q.classes[:class] {
-		kept += max(c.cfg.KeptSlots-c.running, 0)
+		kept += max(c.cfg.ReservedSlots-c.running, 0)
 	}
 	// One slot is always left to the others, or they would never run.
 	return max(min(kept, q.cfg.Slots-1), 0)
--- a/internal/decide/burdockqueue/pause_test.go
+++ b/internal/decide/burdockqueue/pause_test.go
@@ -17,36 +17,36 @@
 	now := burdockclock.Millis(1000)
 	for i := range 40 { // each takes 200 ms: as much as the engine serves
 		id := burdockid.Request(fmt.Sprint("before ", i))
-		q.Offer(now, Work{ID: id, Customer: "a", Cost: 10, Arrived: now})
-		q.Next(now)
+		q.Offer(now, Request{ID: id, Customer: "a", Cost: 10, Arrived: now})
+		q.Dispatch(now)
 		now += gap
 		if i >= slots-1 {
 			q.Finish(now, burdockid.Request(fmt.Sprint("before ", i-slots+1)), 10)
-			q.Next(now)
+			q.Dispatch(now)
 		}
 	}
 	q.Pause(now, true)
 	for i := range 20 {
-		d := q.Offer(now, Work{ID: burdockid.Request(fmt.Sprint("paused ", i)), Customer: "a", Cost: 10, Arrived: now})
+		d := q.Offer(now, Request{ID: burdockid.Request(fmt.Sprint("paused ", i)), Customer: "a", Cost: 10, Arrived: now})
 		if _, waits := d.(Wait); !waits {
 			t.Fatalf("offer %d while paused: got %T, want to wait", i, d)
 		}
-		for _, event := range q.Next(now) {
+		for _, event := range q.Dispatch(now) {
 			t.Errorf("while paused: got %v, want nothing", event)
 		}
 		now += gap
 	}
-	q.Permit(now)
-	if got, want := len(q.Next(now)), 1; got != want {
+	q.AllowProbe(now)
+	if got, want := len(q.Dispatch(now)), 1; got != want {
 		t.Errorf("started on permission: got %d, want %d", got, want)
 	}
-	if d, refused := q.Offer(now, Work{ID: "last", Customer: "a", Cost: 10, Arrived: now}).(Refuse); refused {
+	if d, refused := q.Offer(now, Request{ID: "last", Customer: "a", Cost: 10, Arrived: now}).(Refuse); refused {
 		t.Errorf("offer after a second of pause: refused as %v, want to wait", d.Reason)
 	}
-	q.Check()
+	q.CheckInvariants()
 	q.Pause(now, false)
-	q.Check()
-	if got, want := len(q.Next(now)), 0; got != want {
+	q.CheckInvariants()
+	if got, want := len(q.Dispatch(now)), 0; got != want {
 		t.Errorf("dropped or started as the pause ends, all slots being taken: got %d, want %d", got, want)
 	}
 }
@@ -55,8 +55,8 @@
 func TestTimeToComeBackGrowsWithThePause(t *testing.T) {
 	q := New(Config{Slots: 1, MaxQueued: 100, MaxRetryAfter: 5000, RetrySpread: 100, Classes: []ClassConfig{{MaxWait: 100}}}, rand.New(rand.NewPCG(1, 1)))
 	q.Pause(1000, true)
-	q.Offer(3000, Work{ID: "a", Customer: "a", Cost: 10, Arrived: 3000})
-	events := q.Next(3100)
+	q.Offer(3000, Request{ID: "a", Customer: "a", Cost: 10, Arrived: 3000})
+	events := q.Dispatch(3100)
 	if len(events) != 1 {
 		t.Fatalf("events: got %d, want 1", len(events))
 	}
--- a/internal/decide/burdockqueue/queue.go
+++ b/internal/decide/burdockqueue/queue.go
@@ -7,7 +7,7 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// Queue decides for one engine. It is not safe for concurrent use. Next must
+// Queue decides for one engine. It is not safe for concurrent use. Dispatch must
 // be called after each of Offer, Finish, Cancel, Drain and Reconfigure, and at
 // the instant that WakeAt returns.
 type Queue struct {
@@ -26,7 +26,7 @@
 	pausedAt   burdockclock.Millis
 	permitted  bool // one start in spite of the pause
 	now        burdockclock.Millis
-	pending    []Event // for the next call of Next
+	pending    []Event // for the next call of Dispatch
 	log        decisionLog
 	counts     counts
 }
@@ -50,7 +50,7 @@
 }
 
 // Offer decides on new work.
-func (q *Queue) Offer(now burdockclock.Millis, w Work) Decision {
+func (q *Queue) Offer(now burdockclock.Millis, w Request) Decision {
 	q.advance(now)
 	q.believeInitialRate()
 	w = q.normalise(w)
@@ -115,9 +115,9 @@
 	delete(q.items, id)
 }
 
-// Next returns what became of queued work by now: first what is dropped, then
+// Dispatch returns what became of queued work by now: first what is dropped, then
 // what is started.
-func (q *Queue) Next(now burdockclock.Millis) []Event {
+func (q *Queue) Dispatch(now burdockclock.Millis) []Event {
 	q.advance(now)
 	events := q.pending
 	q.pending = nil
@@ -134,7 +134,7 @@
 	return events
 }
 
-// WakeAt returns the next instant at which Next has something to tell although
+// WakeAt returns the next instant at which Dispatch has something to tell although
 // nothing else has happened, and false if there is none.
 func (q *Queue) WakeAt() (burdockclock.Millis, bool) {
 	if len(q.pending) > 0 {
@@ -174,9 +174,9 @@
 	q.paused, q.permitted = paused, false
 }
 
-// Permit has one piece of work started in spite of a pause, to find out whether the
+// AllowProbe has one piece of work started in spite of a pause, to find out whether the
 // engine goes on.
-func (q *Queue) Permit(now burdockclock.Millis) {
+func (q *Queue) AllowProbe(now burdockclock.Millis) {
 	q.advance(now)
 	q.permitted = q.paused
 }
@@ -198,7 +198,7 @@
 // spans negative, so time stands still until the clock has caught up.
 func (q *Queue) advance(now burdockclock.Millis) { q.now = max(q.now, now) }
 
-func (q *Queue) normalise(w Work) Work {
+func (q *Queue) normalise(w Request) Request {
 	w.Class = min(max(w.Class, 0), Class(len(q.classes)-1))
 	w.Cost = min(max(w.Cost, 0), maxCost)
 	if w.Arrived <= 0 || w.Arrived > q.now {
@@ -216,9 +216,9 @@
 }
 
 // unwelcome returns why work cannot be taken whatever the load.
-func (q *Queue) unwelcome(w Work) Reason {
+func (q *Queue) unwelcome(w Request) Reason {
 	if q.leaving {
-		return ReasonLeaving
+		return ReasonDraining
 	}
 	if _, ok := q.items[w.ID]; ok {
 		return ReasonDuplicate
@@ -229,7 +229,7 @@
 	return ReasonNone
 }
 
-func (q *Queue) refuse(w Work, reason Reason, expected burdockclock.Millis) Refuse {
+func (q *Queue) refuse(w Request, reason Reason, expected burdockclock.Millis) Refuse {
 	q.counts.refused[reason]++
 	after := q.retryAfter(w, reason, expected)
 	q.note(w, OutcomeRefuse, reason, after)
--- a/internal/decide/burdockqueue/reason.go
+++ b/internal/decide/burdockqueue/reason.go
@@ -21,8 +21,8 @@
 	// ReasonDisplaced means that queued work made room for work that is more
 	// urgent or whose customer is less far over its share.
 	ReasonDisplaced
-	// ReasonLeaving means that this upstream takes no new work any more.
-	ReasonLeaving
+	// ReasonDraining means that this upstream takes no new work any more.
+	ReasonDraining
 	// ReasonDuplicate means that work with the same id is queued or running
 	// here. Only this offer of it was not run.
 	ReasonDuplicate
@@ -36,7 +36,7 @@
 	ReasonOverShare:    "over share",
 	ReasonWaitExceeded: "waiting time exceeded",
 	ReasonDisplaced:    "displaced",
-	ReasonLeaving:      "leaving",
+	ReasonDraining:     "leaving",
 	ReasonDuplicate:    "duplicate request",
 }
 
--- a/internal/decide/burdockqueue/retry.go
+++ b/internal/decide/burdockqueue/retry.go
@@ -39,8 +39,8 @@
 // when the backlog ahead of it is served, spread over the time that all the
 // refused need. While nothing is started that is as far off as the pause has lasted,
 // as far as anybody knows.
-func (q *Queue) retryAfter(w Work, reason Reason, expected burdockclock.Millis) burdockclock.Millis {
-	if reason == ReasonLeaving || reason == ReasonDuplicate {
+func (q *Queue) retryAfter(w Request, reason Reason, expected burdockclock.Millis) burdockclock.Millis {
+	if reason == ReasonDraining || reason == ReasonDuplicate {
 		// Other upstreams are not to blame: come back soon, and elsewhere.
 		return q.retry.between(1, q.cfg.RetrySpread)
 	}
--- a/internal/decide/burdockqueue/state.go
+++ b/internal/decide/burdockqueue/state.go
@@ -36,17 +36,17 @@
 // MarshalText implements encoding.TextMarshaler, for the state dump.
 func (o Outcome) MarshalText() ([]byte, error) { return []byte(o.String()), nil }
 
-// Made is one decision in the state dump.
-type Made struct {
+// DecisionRecord is one decision in the state dump.
+type DecisionRecord struct {
 	At       burdockclock.Millis `json:"at"`
 	ID       burdockid.Request   `json:"id"`
 	Customer burdockid.Customer  `json:"customer"`
 	Class    Class               `json:"class"`
 	Outcome  Outcome             `json:"outcome"`
 	Reason   Reason              `json:"reason"`
-	// Span is the wait so far of a start, the expected wait of a wait, and the
+	// Delay is the wait so far of a start, the expected wait of a wait, and the
 	// RetryAfter of a refusal or drop.
-	Span burdockclock.Millis `json:"span"`
+	Delay burdockclock.Millis `json:"span"`
 }
 
 // decisionLogSize bounds the decisions that are kept. At tens of requests a
@@ -55,32 +55,32 @@
 
 // decisionLog is a ring of the last decisions.
 type decisionLog struct {
-	made [decisionLogSize]Made
+	made [decisionLogSize]DecisionRecord
 	n    uint64
 }
 
-func (l *decisionLog) add(m Made) {
+func (l *decisionLog) add(m DecisionRecord) {
 	l.made[l.n%decisionLogSize] = m
 	l.n++
 }
 
 // all returns the decisions, the oldest first.
-func (l *decisionLog) all() []Made {
+func (l *decisionLog) all() []DecisionRecord {
 	var first uint64
 	if l.n > decisionLogSize {
 		first = l.n - decisionLogSize
 	}
-	made := make([]Made, 0, l.n-first)
+	made := make([]DecisionRecord, 0, l.n-first)
 	for i := first; i < l.n; i++ {
 		made = append(made, l.made[i%decisionLogSize])
 	}
 	return made
 }
 
-func (q *Queue) note(w Work, outcome Outcome, reason Reason, span burdockclock.Millis) {
-	q.log.add(Made{
+func (q *Queue) note(w Request, outcome Outcome, reason Reason, span burdockclock.Millis) {
+	q.log.add(DecisionRecord{
 		At: q.now, ID: w.ID, Customer: w.Customer, Class: w.Class,
-		Outcome: outcome, Reason: reason, Span: span,
+		Outcome: outcome, Reason: reason, Delay: span,
 	})
 }
 
@@ -137,48 +137,48 @@
 
 // ClassState is one class in the state dump.
 type ClassState struct {
-	Name        string              `json:"name"`
-	Queued      int                 `json:"queued"`
-	Running     int                 `json:"running"`
-	QueuedCost  burdockid.Tokens    `json:"queuedCost"`
-	VirtualTime float64             `json:"virtualTime"`
-	DueAt       burdockclock.Millis `json:"dueAt"` // 0 when the class is not waiting for a start
-	Customers   []CustomerState     `json:"customers"`
+	Name               string              `json:"name"`
+	Queued             int                 `json:"queued"`
+	Running            int                 `json:"running"`
+	QueuedCost         burdockid.Tokens    `json:"queuedCost"`
+	VirtualTime        float64             `json:"virtualTime"`
+	StarvationDeadline burdockclock.Millis `json:"dueAt"` // 0 when the class is not waiting for a start
+	Customers          []CustomerState     `json:"customers"`
 }
 
 // State is the whole queue for the state dump.
 type State struct {
-	Now           burdockclock.Millis `json:"now"`
-	Load          Load                `json:"load"`
-	MaxQueued     int                 `json:"maxQueued"`
-	Leaving       bool                `json:"leaving"`
-	TokensASecond float64             `json:"tokensASecond"` // believed of one slot; 0 is unknown
-	Offered       uint64              `json:"offered"`
-	Started       uint64              `json:"started"`
-	Finished      uint64              `json:"finished"`
-	Cancelled     uint64              `json:"cancelled"`
-	Refused       []ReasonCount       `json:"refused"`
-	Dropped       []ReasonCount       `json:"dropped"`
-	Classes       []ClassState        `json:"classes"`
-	Decisions     []Made              `json:"decisions"` // the last ones, oldest first
+	Now             burdockclock.Millis `json:"now"`
+	Load            Load                `json:"load"`
+	MaxQueued       int                 `json:"maxQueued"`
+	Draining        bool                `json:"leaving"`
+	TokensPerSecond float64             `json:"tokensASecond"` // believed of one slot; 0 is unknown
+	Offered         uint64              `json:"offered"`
+	Started         uint64              `json:"started"`
+	Finished        uint64              `json:"finished"`
+	Cancelled       uint64              `json:"cancelled"`
+	Refused         []ReasonCount       `json:"refused"`
+	Dropped         []ReasonCount       `json:"dropped"`
+	Classes         []ClassState        `json:"classes"`
+	Decisions       []DecisionRecord    `json:"decisions"` // the last ones, oldest first
 }
 
 // State returns the queue's state. Its cost grows with the customers that are
 // queued or running, not with the length of the queue.
 func (q *Queue) State() State {
 	s := State{
-		Now:           q.now,
-		Load:          q.Load(),
-		MaxQueued:     q.cfg.MaxQueued,
-		Leaving:       q.leaving,
-		TokensASecond: q.slotRate() * float64(burdockclock.Second),
-		Offered:       q.counts.offered,
-		Started:       q.counts.started,
-		Finished:      q.counts.finished,
-		Cancelled:     q.counts.cancelled,
-		Refused:       q.counts.refused.list(),
-		Dropped:       q.counts.dropped.list(),
-		Decisions:     q.log.all(),
+		Now:             q.now,
+		Load:            q.Load(),
+		MaxQueued:       q.cfg.MaxQueued,
+		Draining:        q.leaving,
+		TokensPerSecond: q.slotRate() * float64(burdockclock.Second),
+		Offered:         q.counts.offered,
+		Started:         q.counts.started,
+		Finished:        q.counts.finished,
+		Cancelled:       q.counts.cancelled,
+		Refused:         q.counts.refused.list(),
+		Dropped:         q.counts.dropped.list(),
+		Decisions:       q.log.all(),
 	}
 	for _, c := range q.classes {
 		s.Classes = append(s.Classes, c.state())
@@ -196,7 +196,7 @@
 		Customers:   make([]CustomerState, 0, len(c.flows)),
 	}
 	if due := c.dueAt(); due != never {
-		s.DueAt = due
+		s.StarvationDeadline = due
 	}
 	for _, f := range c.flows {
 		s.Customers = append(s.Customers, CustomerState{
--- a/internal/decide/burdockqueue/transition.go
+++ b/internal/decide/burdockqueue/transition.go
@@ -7,7 +7,7 @@
 
 // This file moves requests from one place to the next.
 
-func (q *Queue) enqueue(w Work) {
+func (q *Queue) enqueue(w Request) {
 	it := &item{work: w, place: placeQueued, expiryIndex: notInHeap, runningIndex: notInHeap}
 	q.items[w.ID] = it
 	q.classes[w.Class].push(q.now, it, q.cfg.share(w.Customer))
@@ -27,7 +27,7 @@
 }
 
 // expiryOf returns when queued work is dropped and why.
-func (q *Queue) expiryOf(w Work) (burdockclock.Millis, Reason) {
+func (q *Queue) expiryOf(w Request) (burdockclock.Millis, Reason) {
 	expires, reason := never, ReasonNone
 	if bound := q.classes[w.Class].cfg.MaxWait; bound > 0 {
 		expires, reason = w.Arrived+bound, ReasonWaitExceeded
--- a/internal/decide/burdockqueue/work.go
+++ b/internal/decide/burdockqueue/work.go
@@ -10,8 +10,8 @@
 // Class numbers a priority class. 0 is the most urgent.
 type Class int
 
-// Work is one request as the queue sees it.
-type Work struct {
+// Request is one request as the queue sees it.
+type Request struct {
 	ID       burdockid.Request
 	Customer burdockid.Customer
 	Class    Class // one beyond the last configured class counts as the last
@@ -34,7 +34,7 @@
 
 // item is one admitted request.
 type item struct {
-	work    Work
+	work    Request
 	place   place
 	flow    *flow
 	started burdockclock.Millis
--- a/internal/measure/burdockqueuelab/arrivals.go
+++ b/internal/measure/burdockqueuelab/arrivals.go
@@ -12,7 +12,7 @@
 
 // request is one caller's request as the lab knows it.
 type request struct {
-	work burdockqueue.Work
+	work burdockqueue.Request
 	// tokens is what it takes in truth; work.Cost is the estimate.
 	tokens float64
 
@@ -130,7 +130,7 @@
 	estimate := tokens * math.Exp(l.cfg.estimateError*l.rnd.NormFloat64())
 	return &request{
 		tokens: tokens,
-		work: burdockqueue.Work{
+		work: burdockqueue.Request{
 			Customer: customer,
 			Class:    burdockqueue.Class(class),
 			Cost:     burdockid.Tokens(math.Max(1, math.Round(estimate))),
--- a/internal/measure/burdockqueuelab/lab.go
+++ b/internal/measure/burdockqueuelab/lab.go
@@ -80,7 +80,7 @@
 	for i, c := range l.scenario.classes {
 		class := burdockqueue.ClassConfig{Name: c.name, MaxWait: c.patience}
 		if i == 0 {
-			class.KeptSlots = l.cfg.kept
+			class.ReservedSlots = l.cfg.kept
 		} else {
 			class.MaxStarvation = l.cfg.starvation
 		}
--- a/internal/measure/burdockqueuelab/policy.go
+++ b/internal/measure/burdockqueuelab/policy.go
@@ -10,10 +10,10 @@
 
 // queue is what the lab drives. *burdockqueue.Queue is one.
 type queue interface {
-	Offer(now burdockclock.Millis, w burdockqueue.Work) burdockqueue.Decision
+	Offer(now burdockclock.Millis, w burdockqueue.Request) burdockqueue.Decision
 	Finish(now burdockclock.Millis, id burdockid.Request, served burdockid.Tokens)
 	Cancel(now burdockclock.Millis, id burdockid.Request)
-	Next(now burdockclock.Millis) []burdockqueue.Event
+	Dispatch(now burdockclock.Millis) []burdockqueue.Event
 	WakeAt() (burdockclock.Millis, bool)
 }
 
@@ -76,7 +76,7 @@
 const lineRetryAfter = burdockclock.Second
 
 // Offer implements queue.
-func (q *lineQueue) Offer(_ burdockclock.Millis, w burdockqueue.Work) burdockqueue.Decision {
+func (q *lineQueue) Offer(_ burdockclock.Millis, w burdockqueue.Request) burdockqueue.Decision {
 	if len(q.running) < q.cfg.Slots {
 		q.running[w.ID] = true
 		return burdockqueue.Start{}
@@ -101,8 +101,8 @@
 	delete(q.waiting, id)
 }
 
-// Next implements queue.
-func (q *lineQueue) Next(burdockclock.Millis) []burdockqueue.Event {
+// Dispatch implements queue.
+func (q *lineQueue) Dispatch(burdockclock.Millis) []burdockqueue.Event {
 	var events []burdockqueue.Event
 	for i, line := range q.lines {
 		for len(line) > 0 && len(q.running) < q.cfg.Slots {
--- a/internal/measure/burdockqueuelab/simulation.go
+++ b/internal/measure/burdockqueuelab/simulation.go
@@ -76,13 +76,13 @@
 		for _, r := range s.engine.advance(s.now) {
 			r.outcome = outcomeInTime
 			s.q.Finish(s.now, r.work.ID, burdockid.Tokens(r.tokens))
-			s.apply(s.q.Next(s.now))
+			s.apply(s.q.Dispatch(s.now))
 		}
 		for len(s.events) > 0 && s.events[0].at <= s.now {
 			s.act(heap.Pop(&s.events).(callerEvent))
-			s.apply(s.q.Next(s.now))
+			s.apply(s.q.Dispatch(s.now))
 		}
-		s.apply(s.q.Next(s.now))
+		s.apply(s.q.Dispatch(s.now))
 	}
 }
 
--- a/internal/serve/burdockagent/agent.go
+++ b/internal/serve/burdockagent/agent.go
@@ -169,7 +169,7 @@
 // drive applies what the queue decided. It must be called after each call of
 // the queue, with the lock held.
 func (a *Agent) drive(now burdockclock.Millis) {
-	for _, event := range a.queue.Next(now) {
+	for _, event := range a.queue.Dispatch(now) {
 		switch e := event.(type) {
 		case burdockqueue.Started:
 			a.startJob(a.jobs[e.ID])
@@ -200,7 +200,7 @@
 	for _, j := range a.jobs {
 		if j.queued() {
 			a.queue.Cancel(now, j.id)
-			a.dropJob(now, j, burdockqueue.Dropped{ID: j.id, Reason: burdockqueue.ReasonLeaving})
+			a.dropJob(now, j, burdockqueue.Dropped{ID: j.id, Reason: burdockqueue.ReasonDraining})
 		}
 	}
 }
--- a/internal/serve/burdockagent/finish.go
+++ b/internal/serve/burdockagent/finish.go
@@ -143,7 +143,7 @@
 	burdockqueue.ReasonOverShare:    burdockwire.RefusedReason_REFUSED_REASON_OVER_SHARE,
 	burdockqueue.ReasonWaitExceeded: burdockwire.RefusedReason_REFUSED_REASON_WAITED_TOO_LONG,
 	burdockqueue.ReasonDisplaced:    burdockwire.RefusedReason_REFUSED_REASON_DISPLACED,
-	burdockqueue.ReasonLeaving:      burdockwire.RefusedReason_REFUSED_REASON_LEAVING,
+	burdockqueue.ReasonDraining:     burdockwire.RefusedReason_REFUSED_REASON_LEAVING,
 }
 
 func reasonOf(r burdockqueue.Reason) burdockwire.RefusedReason { return queueReasons[r] }
--- a/internal/serve/burdockagent/policy.go
+++ b/internal/serve/burdockagent/policy.go
@@ -51,7 +51,7 @@
 		})
 	}
 	if len(p.queue.Classes) > 1 {
-		p.queue.Classes[0].KeptSlots = cfg.Slots / slotsPerKept
+		p.queue.Classes[0].ReservedSlots = cfg.Slots / slotsPerKept
 	}
 	for _, share := range profile.Shares {
 		p.queue.Shares[share.Customer] = share.Share
--- a/internal/serve/burdockagent/rpc.go
+++ b/internal/serve/burdockagent/rpc.go
@@ -86,7 +86,7 @@
 		}
 	}
 	j := newJob(req, now, a.deps.Clock)
-	work := burdockqueue.Work{
+	work := burdockqueue.Request{
 		ID:       id,
 		Customer: burdockid.Customer(req.GetCustomer()),
 		Class:    a.policy.class(req.GetPriorityClass()),
--- a/internal/serve/burdockdirect/gate.go
+++ b/internal/serve/burdockdirect/gate.go
@@ -247,7 +247,7 @@
 // advance tells those who wait what became of them. The lock must be held.
 func (g *gate) advance() {
 	g.fit(false)
-	for _, event := range g.queue.Next(g.clock.Boot()) {
+	for _, event := range g.queue.Dispatch(g.clock.Boot()) {
 		var id burdockid.Request
 		switch e := event.(type) {
 		case burdockqueue.Started:
--- a/internal/serve/burdockdirect/opening.go
+++ b/internal/serve/burdockdirect/opening.go
@@ -62,7 +62,7 @@
 	case state == burdocklockstep.Moving:
 		return g.pace.Streams(g.paceNow(), running)
 	case state == burdocklockstep.Closed && wanted && g.group.Probe(now):
-		g.queue.Permit(now)
+		g.queue.AllowProbe(now)
 		return max(g.slots, running+1)
 	}
 	return g.slots
--- a/internal/serve/burdockdirect/waiting.go
+++ b/internal/serve/burdockdirect/waiting.go
@@ -11,7 +11,7 @@
 
 // waiter is a request that waits to be started.
 type waiter struct {
-	work burdockqueue.Work
+	work burdockqueue.Request
 	told chan burdockqueue.Event
 	// lateAt is the instant from which it can't be in time any more.
 	lateAt burdockclock.Millis
@@ -20,7 +20,7 @@
 // enter waits until the request may start. It returns a refusal, or nil; the
 // error is the context's when the caller went away.
 func (g *gate) enter(ctx context.Context, req *request, id burdockid.Request) (*burdockqueue.Refuse, error) {
-	work := burdockqueue.Work{
+	work := burdockqueue.Request{
 		ID: id, Customer: req.customer, Class: ranksOfClass * min(req.class, classes-1), Cost: req.cost,
 		Arrived: req.arrived, Deadline: req.deadline,
 	}
