--- a/internal/measure/burdockexpertlab/command.go
+++ b/internal/measure/burdockexpertlab/command.go
@@ -61,7 +61,7 @@
 	fs.Int64Var((*int64)(&cfg.StoreRate), "store-rate", int64(cfg.StoreRate), "bytes a second that the weight store gives")
 	millisVar(fs, &cfg.Window, "window", "time that a step stands for")
 	millisVar(fs, &cfg.HalfLife, "half-life", "half-life of counts")
-	millisVar(fs, &cfg.Hold, "hold", "time for which popularity is expected to hold")
+	millisVar(fs, &cfg.Horizon, "hold", "time for which popularity is expected to hold")
 	fs.BoolVar(&cfg.Sweep, "sweep", cfg.Sweep, "also play a sweep of weights and one of timers")
 	fs.StringVar(&o.plot, "plot", "", "file for the plot of skew against time spent moving, SVG")
 }
@@ -113,7 +113,7 @@
 		{"ranks", int64(cfg.Ranks)}, {"experts", int64(cfg.Experts)}, {"layers", int64(cfg.Layers)},
 		{"slots", int64(cfg.Slots)}, {"steps", int64(cfg.Steps)}, {"timer", int64(cfg.TimerSteps)},
 		{"tokens", int64(cfg.Tokens)}, {"expert-bytes", int64(cfg.ExpertBytes)}, {"store-rate", int64(cfg.StoreRate)},
-		{"window", int64(cfg.Window)}, {"half-life", int64(cfg.HalfLife)}, {"hold", int64(cfg.Hold)},
+		{"window", int64(cfg.Window)}, {"half-life", int64(cfg.HalfLife)}, {"hold", int64(cfg.Horizon)},
 	} {
 		if c.value <= 0 {
 			list.Add(burdockfinding.Finding{Key: c.key, What: fmt.Sprintf("is %d", c.value), Want: "above 0"})
@@ -128,7 +128,7 @@
 		Weights:     cfg.Weights,
 		ExpertBytes: cfg.ExpertBytes,
 		StoreRate:   cfg.StoreRate,
-		Horizon:     cfg.Hold,
+		Horizon:     cfg.Horizon,
 	}
 	list.Merge(in.Check())
 	return list
--- a/internal/measure/burdockexpertlab/command_test.go
+++ b/internal/measure/burdockexpertlab/command_test.go
@@ -81,7 +81,7 @@
 	cfg.Sweep = false
 	rep := Run(cfg)
 	planned, always := rep.Policies[0], rep.always()
-	if got, want := planned.P50, 1.05*rep.Bound.P50; got > want {
+	if got, want := planned.SkewP50, 1.05*rep.Bound.SkewP50; got > want {
 		t.Errorf("slow: p50 of skew = %.4f, want at most %.4f", got, want)
 	}
 	if got, want := float64(planned.Moves), fifth*float64(always.Moves); got > want {
--- a/internal/measure/burdockexpertlab/drift.go
+++ b/internal/measure/burdockexpertlab/drift.go
@@ -15,15 +15,15 @@
 
 // The drifts.
 const (
-	Steady  Drift = "steady"  // constant, tokens nearly independent
-	Slow    Drift = "slow"    // turns through the day, 24 hours for a full turn
-	Swap    Drift = "swap"    // other experts turn hot at once, twice in the run
-	Quarter Drift = "quarter" // work of the quarter's end comes, stays and goes
-	Noise   Drift = "noise"   // constant, tokens in bursts
+	Steady     Drift = "steady"  // constant, tokens nearly independent
+	Slow       Drift = "slow"    // turns through the day, 24 hours for a full turn
+	Swap       Drift = "swap"    // other experts turn hot at once, twice in the run
+	QuarterEnd Drift = "quarter" // work of the quarter's end comes, stays and goes
+	Noise      Drift = "noise"   // constant, tokens in bursts
 )
 
 // Drifts lists all drifts in the order in which they are reported.
-var Drifts = []Drift{Steady, Slow, Swap, Quarter, Noise}
+var Drifts = []Drift{Steady, Slow, Swap, QuarterEnd, Noise}
 
 func parseDrift(s string) (Drift, error) {
 	names := make([]string, len(Drifts))
@@ -93,7 +93,7 @@
 			return [anchorCount]float64{0, 1, 0}
 		}
 		return [anchorCount]float64{0, 0, 1}
-	case Quarter:
+	case QuarterEnd:
 		rise := (part - quarterRise) / (quarterHigh - quarterRise)
 		fall := (quarterLow - part) / (quarterLow - quarterFall)
 		high := min(1, max(0, min(rise, fall)))
--- a/internal/measure/burdockexpertlab/plot.go
+++ b/internal/measure/burdockexpertlab/plot.go
@@ -45,22 +45,22 @@
 func (rep Report) Plot() []byte {
 	p := &plot{moving: newAxis(), skew: newAxis()}
 	never := rep.never()
-	for _, row := range append(append([]Row{never, rep.Bound}, rep.Sweep...), rep.Timers...) {
+	for _, row := range append(append([]Row{never, rep.Bound}, rep.WeightSweep...), rep.TimerSweep...) {
 		p.moving.cover(rep.moving(row))
-		p.skew.cover(excess(row.P50))
-		p.skew.cover(excess(row.P99))
+		p.skew.cover(excess(row.SkewP50))
+		p.skew.cover(excess(row.SkewP99))
 	}
 	// A run in which nothing moved still gets axes.
 	p.moving.cover(1)
 	p.skew.cover(1)
 	p.frame(rep)
-	p.curve(rep, rep.Sweep, "planner, weights: p50", "#1f5fa8", "", median)
-	p.curve(rep, rep.Sweep, "planner: p99", "#1f5fa8", "6 4", tail)
-	p.curve(rep, rep.Timers, "afresh, timers: p50", "#b5531c", "", median)
-	p.curve(rep, rep.Timers, "afresh, timers: p99", "#b5531c", "6 4", tail)
-	p.level("never: p50", "#777777", "", never.P50)
-	p.level("never: p99", "#777777", "6 4", never.P99)
-	p.level("bound: p50", "#2d7d32", "", rep.Bound.P50)
+	p.curve(rep, rep.WeightSweep, "planner, weights: p50", "#1f5fa8", "", median)
+	p.curve(rep, rep.WeightSweep, "planner: p99", "#1f5fa8", "6 4", tail)
+	p.curve(rep, rep.TimerSweep, "afresh, timers: p50", "#b5531c", "", median)
+	p.curve(rep, rep.TimerSweep, "afresh, timers: p99", "#b5531c", "6 4", tail)
+	p.level("never: p50", "#777777", "", never.SkewP50)
+	p.level("never: p99", "#777777", "6 4", never.SkewP99)
+	p.level("bound: p50", "#2d7d32", "", rep.Bound.SkewP50)
 	p.b.WriteString("</svg>\n")
 	return p.b.Bytes()
 }
@@ -71,13 +71,13 @@
 	return percent * (skew - 1)
 }
 
-func median(row Row) float64 { return row.P50 }
-func tail(row Row) float64   { return row.P99 }
+func median(row Row) float64 { return row.SkewP50 }
+func tail(row Row) float64   { return row.SkewP99 }
 
 // moving returns the part of the run spent moving, in percent.
 func (rep Report) moving(row Row) float64 {
 	const percent = 100
-	return percent * float64(row.Moving) / (float64(rep.Config.Window) * float64(rep.Config.Steps))
+	return percent * float64(row.MoveTime) / (float64(rep.Config.Window) * float64(rep.Config.Steps))
 }
 
 // never returns the row of the policy that keeps the first map.
--- a/internal/measure/burdockexpertlab/run.go
+++ b/internal/measure/burdockexpertlab/run.go
@@ -26,7 +26,7 @@
 	Window      burdockclock.Millis
 	Tokens      burdockid.Tokens // routed in a layer in one window
 	HalfLife    burdockclock.Millis
-	Hold        burdockclock.Millis
+	Horizon     burdockclock.Millis
 	ExpertBytes burdockid.Bytes
 	StoreRate   burdockid.BytesPerSecond
 	TimerSteps  int
@@ -52,7 +52,7 @@
 		Window:      30 * burdockclock.Second,
 		Tokens:      2_400_000,
 		HalfLife:    burdockclock.Minute,
-		Hold:        30 * burdockclock.Minute,
+		Horizon:     30 * burdockclock.Minute,
 		ExpertBytes: 44_000_000,
 		StoreRate:   1_000_000_000,
 		TimerSteps:  60,
@@ -77,25 +77,25 @@
 
 // Row is what one policy reached.
 type Row struct {
-	Name    string
-	P50     float64 // step-time skew: largest over mean rank time
-	P99     float64
-	Mean    float64
-	Moves   int // experts fetched
-	Changes int // maps put in force
-	Moving  burdockclock.Millis
-	// Lost is the run's weighted objective: skew's excess over 1 for the
+	Name       string
+	SkewP50    float64 // step-time skew: largest over mean rank time
+	SkewP99    float64
+	SkewMean   float64
+	Moves      int // experts fetched
+	MapChanges int // maps put in force
+	MoveTime   burdockclock.Millis
+	// WeightedLoss is the run's weighted objective: skew's excess over 1 for the
 	// length of the run, and the time spent moving, at Config's weights.
-	Lost burdockclock.Millis
+	WeightedLoss burdockclock.Millis
 }
 
 // Report is the outcome of a run.
 type Report struct {
-	Config   Config
-	Bound    Row // what no map can beat in each step, at no cost
-	Policies []Row
-	Sweep    []Row // the planner at other weights
-	Timers   []Row // solving afresh at other periods
+	Config      Config
+	Bound       Row // what no map can beat in each step, at no cost
+	Policies    []Row
+	WeightSweep []Row // the planner at other weights
+	TimerSweep  []Row // solving afresh at other periods
 }
 
 // sweepWeights spans what the planner is asked to do, from skew at almost any
@@ -181,7 +181,7 @@
 		Ranks:       ranks,
 		ExpertBytes: r.cfg.ExpertBytes,
 		StoreRate:   r.cfg.StoreRate,
-		Horizon:     r.cfg.Hold,
+		Horizon:     r.cfg.Horizon,
 	}
 }
 
@@ -191,10 +191,10 @@
 		rep.Policies = append(rep.Policies, r.row(p))
 	}
 	for _, p := range r.sweep {
-		rep.Sweep = append(rep.Sweep, r.row(p))
+		rep.WeightSweep = append(rep.WeightSweep, r.row(p))
 	}
 	for _, p := range r.timers {
-		rep.Timers = append(rep.Timers, r.row(p))
+		rep.TimerSweep = append(rep.TimerSweep, r.row(p))
 	}
 	return rep
 }
@@ -206,14 +206,14 @@
 	excess := (average - 1) * float64(r.cfg.Window) * float64(r.cfg.Steps)
 	lost := r.cfg.Weights.Skew*excess + r.cfg.Weights.Cost*float64(p.moving)
 	return Row{
-		Name:    p.name,
-		P50:     quantile(sorted, median),
-		P99:     quantile(sorted, tail),
-		Mean:    average,
-		Moves:   p.moves,
-		Changes: p.changes,
-		Moving:  p.moving,
-		Lost:    burdockclock.Millis(lost),
+		Name:         p.name,
+		SkewP50:      quantile(sorted, median),
+		SkewP99:      quantile(sorted, tail),
+		SkewMean:     average,
+		Moves:        p.moves,
+		MapChanges:   p.changes,
+		MoveTime:     p.moving,
+		WeightedLoss: burdockclock.Millis(lost),
 	}
 }
 
--- a/internal/measure/burdockplacelab/command.go
+++ b/internal/measure/burdockplacelab/command.go
@@ -26,23 +26,23 @@
 	flags.Uint64Var(&o.Seed, "seed", o.Seed, "seed of every random number")
 	flags.IntVar(&o.Slots, "slots", o.Slots, "requests that a replica works on together")
 	flags.Float64Var(&o.Utilisation, "utilisation", o.Utilisation, "share of all slots that is filled")
-	flags.IntVar(&o.Prefixes, "prefixes", o.Prefixes, "system prompts for each replica")
+	flags.IntVar(&o.PrefixesPerReplica, "prefixes", o.PrefixesPerReplica, "system prompts for each replica")
 	flags.Float64Var(&o.Skew, "skew", o.Skew, "Zipf exponent of the system prompts; 0 is even")
 	flags.Int64Var((*int64)(&o.CacheTokens), "cache", int64(o.CacheTokens), "tokens that a replica caches")
 	flags.StringVar((*string)(&o.Scenario), "scenario", string(o.Scenario), "what goes wrong: steady, slow or lost")
 	only := flags.String("policies", "", "policies to run, separated by commas; empty runs all")
 	seconds := flags.Int64("seconds", int64(o.Measured/burdockclock.Second), "simulated seconds that are measured, after as many to warm up")
-	flags.IntVar(&o.Placing.Home, "home", 0, "upstreams that a prefix belongs to; 0 takes the default")
-	flags.Float64Var(&o.Placing.BoundRatio, "bound", 0, "load, against the mean, beyond which a request spills; 0 takes the default")
-	flags.IntVar(&o.Placing.Offers, "offers", 0, "offers of a request that carry the bound; 0 takes the default")
+	flags.IntVar(&o.PlacerConfig.Home, "home", 0, "upstreams that a prefix belongs to; 0 takes the default")
+	flags.Float64Var(&o.PlacerConfig.BoundRatio, "bound", 0, "load, against the mean, beyond which a request spills; 0 takes the default")
+	flags.IntVar(&o.PlacerConfig.Offers, "offers", 0, "offers of a request that carry the bound; 0 takes the default")
 	return &ffcli.Command{
 		Name:       "placing",
 		ShortUsage: "burdock measure placing [flags]",
 		ShortHelp:  "measure placing beside simple policies and perfect knowledge",
 		FlagSet:    flags,
 		Exec: func(context.Context, []string) error {
-			o.Warm = burdockclock.Millis(*seconds) * burdockclock.Second
-			o.Measured = o.Warm
+			o.WarmUp = burdockclock.Millis(*seconds) * burdockclock.Second
+			o.Measured = o.WarmUp
 			if err := o.check(); err != nil {
 				return err
 			}
@@ -79,8 +79,8 @@
 	for _, policy := range policies {
 		r := Run(o, policy)
 		fmt.Fprintf(table, "%s\t%.3f\t%.3f\t%.3f\t%.3f\t%d\t%d\t%.3f\t%.2f\t%.2f\t%.4f\t%.2f\t%d\t%d\t%d\t\n",
-			r.Policy, r.LoadP50, r.LoadP99, r.LoadMost, r.Spread, r.WaitP50, r.WaitP99,
-			r.HitRate, r.Offers, r.Remote, r.OnSlow, r.Ejected, r.Cut, r.GivenUp, r.Requests)
+			r.Policy, r.LoadP50, r.LoadP99, r.LoadMax, r.Spread, r.WaitP50, r.WaitP99,
+			r.HitRate, r.Offers, r.RemoteShare, r.SlowShare, r.EjectedReplicas, r.Interrupted, r.Refused, r.Requests)
 	}
 	return table.Flush()
 }
@@ -88,11 +88,11 @@
 // check finds values that no run can be made with.
 func (o Options) check() error {
 	switch {
-	case o.Replicas < 1 || o.Entries < 1 || o.DataCentres < 1 || o.Slots < 1 || o.Prefixes < 1:
+	case o.Replicas < 1 || o.Entries < 1 || o.DataCentres < 1 || o.Slots < 1 || o.PrefixesPerReplica < 1:
 		return errBadOptions.New("replicas, entries, datacentres, slots and prefixes must be 1 or more")
 	case o.Utilisation <= 0 || o.Lag < 0 || o.CacheTokens < burdockid.Tokens(0) || o.Skew < 0:
 		return errBadOptions.New("utilisation must be above 0; lag, cache and skew must be 0 or more")
-	case o.Scenario != Steady && o.Scenario != Slow && o.Scenario != Lost:
+	case o.Scenario != Steady && o.Scenario != SlowReplicas && o.Scenario != LostDataCentre:
 		return errBadOptions.New("scenario must be steady, slow or lost")
 	case o.Measured <= 0:
 		return errBadOptions.New("seconds must be 1 or more")
--- a/internal/measure/burdockplacelab/entry.go
+++ b/internal/measure/burdockplacelab/entry.go
@@ -18,7 +18,7 @@
 func newEntry(o Options, i int, members []burdockplace.Member) *entry {
 	part := partEntries + uint64(i)*partsOfEntry
 	e := &entry{
-		placer:  burdockplace.New(o.Placing, source(o, part)),
+		placer:  burdockplace.New(o.PlacerConfig, source(o, part)),
 		tracker: burdockeject.New(burdockeject.Config{}, source(o, part+1)),
 		budget:  burdockretry.New(burdockretry.Config{}, source(o, part+2)),
 	}
--- a/internal/measure/burdockplacelab/fault.go
+++ b/internal/measure/burdockplacelab/fault.go
@@ -7,12 +7,12 @@
 const (
 	// Steady: nothing goes wrong.
 	Steady Scenario = "steady"
-	// Slow: one replica in a hundred, and at least one, takes four times as
+	// SlowReplicas: one replica in a hundred, and at least one, takes four times as
 	// long for each token, from the start.
-	Slow Scenario = "slow"
-	// Lost: the replicas of one data centre are gone for the second quarter of
+	SlowReplicas Scenario = "slow"
+	// LostDataCentre: the replicas of one data centre are gone for the second quarter of
 	// the measured span, then come back all at once with empty caches.
-	Lost Scenario = "lost"
+	LostDataCentre Scenario = "lost"
 )
 
 const (
@@ -28,19 +28,19 @@
 )
 
 // slow reports whether the replica is one of the slow ones.
-func (w *world) slow(i int) bool { return w.o.Scenario == Slow && i%slowOneIn == 0 }
+func (w *world) slow(i int) bool { return w.o.Scenario == SlowReplicas && i%slowOneIn == 0 }
 
 // fails reports whether the replica is in the data centre that is lost.
 func (w *world) fails(i int) bool {
-	return w.o.Scenario == Lost && w.replicaDataCentre(i) == w.dataCentre(0)
+	return w.o.Scenario == LostDataCentre && w.replicaDataCentre(i) == w.dataCentre(0)
 }
 
 func (w *world) scheduleFaults() {
-	if w.o.Scenario != Lost {
+	if w.o.Scenario != LostDataCentre {
 		return
 	}
-	w.agenda.add(w.o.Warm+w.o.Measured/4, losing{})
-	w.agenda.add(w.o.Warm+w.o.Measured/2, returning{})
+	w.agenda.add(w.o.WarmUp+w.o.Measured/4, losing{})
+	w.agenda.add(w.o.WarmUp+w.o.Measured/2, returning{})
 }
 
 func (w *world) handleLosing() {
--- a/internal/measure/burdockplacelab/lab.go
+++ b/internal/measure/burdockplacelab/lab.go
@@ -28,45 +28,45 @@
 	// Utilisation is the share of all slots that the requests fill on average.
 	Utilisation float64
 	Scenario    Scenario
-	// Prefixes is how many system prompts there are for each replica.
-	Prefixes int
+	// PrefixesPerReplica is how many system prompts there are for each replica.
+	PrefixesPerReplica int
 	// Skew is the exponent of the Zipf law by which requests choose a system
 	// prompt: 0 is even.
 	Skew float64
 	// CacheTokens is how much of prefixes one replica keeps.
 	CacheTokens burdockid.Tokens
-	// Warm and Measured are the spans before and during which is measured.
-	Warm     burdockclock.Millis
+	// WarmUp and Measured are the spans before and during which is measured.
+	WarmUp   burdockclock.Millis
 	Measured burdockclock.Millis
-	// Placing is the configuration of the project's own placer.
-	Placing burdockplace.Config
+	// PlacerConfig is the configuration of the project's own placer.
+	PlacerConfig burdockplace.Config
 }
 
 // DefaultOptions returns the values of a small site of today.
 func DefaultOptions() Options {
 	return Options{
-		Replicas:    16,
-		Entries:     3,
-		DataCentres: 3,
-		Lag:         500,
-		Seed:        1,
-		Slots:       32,
-		Utilisation: 0.8,
-		Scenario:    Steady,
-		Prefixes:    10,
-		Skew:        1,
-		CacheTokens: 200_000,
-		Warm:        burdockclock.Minute,
-		Measured:    burdockclock.Minute,
+		Replicas:           16,
+		Entries:            3,
+		DataCentres:        3,
+		Lag:                500,
+		Seed:               1,
+		Slots:              32,
+		Utilisation:        0.8,
+		Scenario:           Steady,
+		PrefixesPerReplica: 10,
+		Skew:               1,
+		CacheTokens:        200_000,
+		WarmUp:             burdockclock.Minute,
+		Measured:           burdockclock.Minute,
 	}
 }
 
 // Result is what one policy reached. Loads are requests held for each slot.
 type Result struct {
-	Policy   string
-	LoadP50  float64
-	LoadP99  float64
-	LoadMost float64
+	Policy  string
+	LoadP50 float64
+	LoadP99 float64
+	LoadMax float64
 	// Spread is the standard deviation of load over the replicas at one
 	// instant, divided by their mean, averaged over all instants.
 	Spread float64
@@ -77,18 +77,18 @@
 	HitRate float64
 	// Offers is the mean number of offers for each request.
 	Offers float64
-	// Remote is the share of requests that ran in another data centre.
-	Remote float64
-	// OnSlow is the share of requests that ran on a slow replica.
-	OnSlow float64
-	// Ejected is how many whole replicas' work an entry withholds at the end,
+	// RemoteShare is the share of requests that ran in another data centre.
+	RemoteShare float64
+	// SlowShare is the share of requests that ran on a slow replica.
+	SlowShare float64
+	// EjectedReplicas is how many whole replicas' work an entry withholds at the end,
 	// averaged over entries.
-	Ejected float64
-	// Requests counts those whose work began; Cut those that were cut off in
-	// their work or their queue; GivenUp those refused for good.
-	Requests int
-	Cut      int
-	GivenUp  int
+	EjectedReplicas float64
+	// Requests counts those whose work began; Interrupted those that were cut off in
+	// their work or their queue; Refused those refused for good.
+	Requests    int
+	Interrupted int
+	Refused     int
 }
 
 // Run measures one policy.
--- a/internal/measure/burdockplacelab/lab_test.go
+++ b/internal/measure/burdockplacelab/lab_test.go
@@ -35,7 +35,7 @@
 	for _, skew := range []float64{0, 1, 1.3} {
 		o := quick(64, 12, Steady)
 		o.Skew = skew
-		got, perfect := Run(o, Ours{}), Run(o, Perfect{})
+		got, perfect := Run(o, EntryPlacer{}), Run(o, PerfectKnowledge{})
 		if want := 1.1 * perfect.LoadP99; got.LoadP99 > want {
 			t.Errorf("skew %v: p99 of load = %v, want at most %v", skew, got.LoadP99, want)
 		}
@@ -51,7 +51,7 @@
 func TestLaggingLoadDoesNotHerd(t *testing.T) {
 	o := quick(64, 12, Steady)
 	o.Lag = 5000
-	got, herding := Run(o, Ours{}), Run(o, LeastStale{})
+	got, herding := Run(o, EntryPlacer{}), Run(o, LeastLoaded{})
 	if want := herding.WaitP99 / 10; got.WaitP99 > want {
 		t.Errorf("p99 of waits = %d ms, want at most %d ms", got.WaitP99, want)
 	}
@@ -61,9 +61,9 @@
 // sent there take four times as long. Judged by its own answers, it must get
 // less than the third of its share that its occupied slots alone would leave.
 func TestSlowReplicaGetsLittle(t *testing.T) {
-	got := Run(quick(64, 6, Slow), Ours{})
-	if share := 1.0 / 64; got.OnSlow > share/3 {
-		t.Errorf("share of requests on the slow replica = %v, want at most %v", got.OnSlow, share/3)
+	got := Run(quick(64, 6, SlowReplicas), EntryPlacer{})
+	if share := 1.0 / 64; got.SlowShare > share/3 {
+		t.Errorf("share of requests on the slow replica = %v, want at most %v", got.SlowShare, share/3)
 	}
 }
 
@@ -72,13 +72,13 @@
 // that arrives later must go to the rest; while the rest has room, no caller
 // may be given up.
 func TestDataCentreLostAndBack(t *testing.T) {
-	o := quick(63, 6, Lost)
+	o := quick(63, 6, LostDataCentre)
 	o.Utilisation = 0.5
-	got := Run(o, Ours{})
-	if got.GivenUp > 0 {
-		t.Errorf("given up = %d of %d, want none while two thirds have room", got.GivenUp, got.Requests)
+	got := Run(o, EntryPlacer{})
+	if got.Refused > 0 {
+		t.Errorf("given up = %d of %d, want none while two thirds have room", got.Refused, got.Requests)
 	}
-	if got.Cut == 0 {
+	if got.Interrupted == 0 {
 		t.Error("nothing was cut, want the running requests of the lost third")
 	}
 }
@@ -89,11 +89,11 @@
 func TestAllRefuse(t *testing.T) {
 	o := quick(16, 3, Steady)
 	o.Utilisation = 2
-	got := Run(o, Ours{})
+	got := Run(o, EntryPlacer{})
 	if got.LoadP50 < 1 {
 		t.Errorf("p50 of load = %v, want every slot taken", got.LoadP50)
 	}
-	if got.GivenUp == 0 {
+	if got.Refused == 0 {
 		t.Error("nobody was given up, want about half of all")
 	}
 	if want := 4.0; got.Offers > want {
--- a/internal/measure/burdockplacelab/policy.go
+++ b/internal/measure/burdockplacelab/policy.go
@@ -5,9 +5,9 @@
 // Policy chooses the replica of a request: one of the types below.
 type Policy interface{ policy() }
 
-// Ours is the project's own placer, one at each entry, which knows only what
+// EntryPlacer is the project's own placer, one at each entry, which knows only what
 // the answers and refusals to its own requests tell.
-type Ours struct{}
+type EntryPlacer struct{}
 
 // Random takes any replica.
 type Random struct{}
@@ -19,34 +19,34 @@
 // renewed for all entries once in each lag.
 type TwoChoices struct{}
 
-// LeastStale takes the least loaded of all by the same loads.
-type LeastStale struct{}
+// LeastLoaded takes the least loaded of all by the same loads.
+type LeastLoaded struct{}
 
 // Affinity takes the replica that the prefix hashes to, whatever its load.
 type Affinity struct{}
 
-// Perfect takes the least loaded of all by their true loads, counting what is
+// PerfectKnowledge takes the least loaded of all by their true loads, counting what is
 // on its way; among those, one that keeps the prefix.
-type Perfect struct{}
+type PerfectKnowledge struct{}
 
-func (Ours) policy()       {}
-func (Random) policy()     {}
-func (RoundRobin) policy() {}
-func (TwoChoices) policy() {}
-func (LeastStale) policy() {}
-func (Affinity) policy()   {}
-func (Perfect) policy()    {}
+func (EntryPlacer) policy()      {}
+func (Random) policy()           {}
+func (RoundRobin) policy()       {}
+func (TwoChoices) policy()       {}
+func (LeastLoaded) policy()      {}
+func (Affinity) policy()         {}
+func (PerfectKnowledge) policy() {}
 
 // Policies returns all of them in the order in which they are printed.
 func Policies() []Policy {
 	return []Policy{
-		Ours{}, Random{}, RoundRobin{}, TwoChoices{}, LeastStale{}, Affinity{}, Perfect{},
+		EntryPlacer{}, Random{}, RoundRobin{}, TwoChoices{}, LeastLoaded{}, Affinity{}, PerfectKnowledge{},
 	}
 }
 
 func policyName(p Policy) string {
 	switch p.(type) {
-	case Ours:
+	case EntryPlacer:
 		return "ours"
 	case Random:
 		return "random"
@@ -54,11 +54,11 @@
 		return "round robin"
 	case TwoChoices:
 		return "two choices"
-	case LeastStale:
+	case LeastLoaded:
 		return "least stale"
 	case Affinity:
 		return "affinity"
-	case Perfect:
+	case PerfectKnowledge:
 		return "perfect"
 	default:
 		panic("burdockplacelab: unknown policy")
@@ -71,7 +71,7 @@
 // choose returns the replica that the request is offered to.
 func (w *world) choose(req *request) int {
 	switch w.policy.(type) {
-	case Ours:
+	case EntryPlacer:
 		return w.entries[req.entry].choose(w, req)
 	case Random:
 		return w.rnd.IntN(len(w.replicas))
@@ -84,11 +84,11 @@
 			return b
 		}
 		return a
-	case LeastStale:
+	case LeastLoaded:
 		return w.leastStale[w.rnd.IntN(len(w.leastStale))]
 	case Affinity:
 		return int(req.prefix[0] % uint64(len(w.replicas)))
-	case Perfect:
+	case PerfectKnowledge:
 		return w.choosePerfect(req)
 	default:
 		panic("burdockplacelab: unknown policy")
--- a/internal/measure/burdockplacelab/workload.go
+++ b/internal/measure/burdockplacelab/workload.go
@@ -57,7 +57,7 @@
 func newWorkload(o Options) *workload {
 	l := &workload{o: o, rnd: source(o, partWorkload)}
 	sum := 0.0
-	for i := range o.Replicas * o.Prefixes {
+	for i := range o.Replicas * o.PrefixesPerReplica {
 		sum += math.Pow(float64(i+1), -o.Skew)
 		l.cumulative = append(l.cumulative, sum)
 	}
--- a/internal/measure/burdockplacelab/world.go
+++ b/internal/measure/burdockplacelab/world.go
@@ -66,7 +66,7 @@
 		w.turns[i] = w.rnd.IntN(o.Replicas)
 	}
 	w.refresh()
-	if _, ok := p.(Ours); ok {
+	if _, ok := p.(EntryPlacer); ok {
 		w.addEntries()
 	}
 	return w
@@ -106,12 +106,12 @@
 
 // run works through the events of the whole span.
 func (w *world) run() {
-	end := w.o.Warm + w.o.Measured
+	end := w.o.WarmUp + w.o.Measured
 	w.addNew()
 	for _, req := range w.workload.underWay() {
 		w.agenda.add(req.arrived, arrival{req: req})
 	}
-	w.agenda.add(w.o.Warm, sampling{})
+	w.agenda.add(w.o.WarmUp, sampling{})
 	w.agenda.add(0, refreshing{})
 	w.scheduleFaults()
 	for {
@@ -256,7 +256,7 @@
 	if w.slow(index) {
 		took *= slowFactor
 	}
-	if w.now >= w.o.Warm {
+	if w.now >= w.o.WarmUp {
 		w.tally.started(w, req, index, found)
 	}
 	w.agenda.add(w.now+took, finish{req, index, took})
