--- a/internal/decide/burdockdoubt/doubt.go
+++ b/internal/decide/burdockdoubt/doubt.go
@@ -1,7 +1,7 @@
 // Package burdockdoubt holds which upstreams have failed a request of late, as this
 // entry saw it or others told, so that what may run once only goes elsewhere.
 //
-// The package is pure: time is passed in. A Ledger is not safe for concurrent use.
+// The package is pure: time is passed in. A Tracker is not safe for concurrent use.
 package burdockdoubt
 
 import (
@@ -11,16 +11,16 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// Config holds the limits of a Ledger. A zero field takes its default.
+// Config holds the limits of a Tracker. A zero field takes its default.
 type Config struct {
-	// Span is how long an upstream is in doubt after a failure: several times what
+	// SuspicionTTL is how long an upstream is in doubt after a failure: several times what
 	// those requests that may be repeated take to show it again.
-	Span burdockclock.Millis
-	// TellAgain is the least time between two tellings of one upstream.
-	TellAgain burdockclock.Millis
-	// LeastLeft is the part of all upstreams that has to be left without doubt;
+	SuspicionTTL burdockclock.Millis
+	// MinNotifyInterval is the least time between two tellings of one upstream.
+	MinNotifyInterval burdockclock.Millis
+	// MinUnsuspectedShare is the part of all upstreams that has to be left without doubt;
 	// where it isn't, doubt decides nothing.
-	LeastLeft float64
+	MinUnsuspectedShare float64
 }
 
 const (
@@ -39,65 +39,65 @@
 
 func (m mark) latest() burdockclock.Millis { return max(m.seen, m.told) }
 
-// Ledger holds the upstreams of one service that are in doubt.
-type Ledger struct {
+// Tracker holds the upstreams of one service that are in doubt.
+type Tracker struct {
 	cfg   Config
 	marks map[burdockid.Upstream]mark
 }
 
 // New returns an empty ledger.
-func New(cfg Config) *Ledger {
-	cfg.Span = cmp.Or(cfg.Span, defaultSpan)
-	cfg.TellAgain = cmp.Or(cfg.TellAgain, defaultTellAgain)
-	cfg.LeastLeft = cmp.Or(cfg.LeastLeft, defaultLeastLeft)
-	return &Ledger{cfg: cfg, marks: map[burdockid.Upstream]mark{}}
+func New(cfg Config) *Tracker {
+	cfg.SuspicionTTL = cmp.Or(cfg.SuspicionTTL, defaultSpan)
+	cfg.MinNotifyInterval = cmp.Or(cfg.MinNotifyInterval, defaultTellAgain)
+	cfg.MinUnsuspectedShare = cmp.Or(cfg.MinUnsuspectedShare, defaultLeastLeft)
+	return &Tracker{cfg: cfg, marks: map[burdockid.Upstream]mark{}}
 }
 
-func (l *Ledger) mark(u burdockid.Upstream) mark {
+func (l *Tracker) mark(u burdockid.Upstream) mark {
 	if m, ok := l.marks[u]; ok {
 		return m
 	}
 	return mark{seen: never, told: never}
 }
 
-// Saw notes that an upstream failed a request of this entry, one of members in all.
+// RecordLocalFailure notes that an upstream failed a request of this entry, one of members in all.
 // It reports whether other entries are to be told.
 //
 // Load: many entries, each with few requests for a plain service. Harm prevented:
 // each finds out by failures of its own, when the first would have been enough for
 // all. An entry for which half of all fail doesn't tell: its own VM or link is more
 // likely the cause, and the others would be left without an upstream that is sound.
-func (l *Ledger) Saw(now burdockclock.Millis, u burdockid.Upstream, members int) bool {
+func (l *Tracker) RecordLocalFailure(now burdockclock.Millis, u burdockid.Upstream, members int) bool {
 	m := l.mark(u)
-	news := now-m.latest() >= l.cfg.TellAgain
+	news := now-m.latest() >= l.cfg.MinNotifyInterval
 	m.seen = now
 	l.marks[u] = m
 	return news && !l.ownFault(now, members)
 }
 
-func (l *Ledger) ownFault(now burdockclock.Millis, members int) bool {
+func (l *Tracker) ownFault(now burdockclock.Millis, members int) bool {
 	failing := 0
 	for _, m := range l.marks {
-		if now-m.seen < l.cfg.Span {
+		if now-m.seen < l.cfg.SuspicionTTL {
 			failing++
 		}
 	}
 	return failing > 1 && failing*ownPart >= members
 }
 
-// Told notes that an upstream fails for another entry.
-func (l *Ledger) Told(now burdockclock.Millis, u burdockid.Upstream) {
+// RecordRemoteFailure notes that an upstream fails for another entry.
+func (l *Tracker) RecordRemoteFailure(now burdockclock.Millis, u burdockid.Upstream) {
 	m := l.mark(u)
 	m.told = now
 	l.marks[u] = m
 }
 
-// Doubted returns the upstreams that are in doubt, out of members; none where too
+// Suspected returns the upstreams that are in doubt, out of members; none where too
 // few would be left to carry the work.
-func (l *Ledger) Doubted(now burdockclock.Millis, members int) map[burdockid.Upstream]bool {
+func (l *Tracker) Suspected(now burdockclock.Millis, members int) map[burdockid.Upstream]bool {
 	var doubted map[burdockid.Upstream]bool
 	for u, m := range l.marks {
-		if now-m.latest() >= l.cfg.Span {
+		if now-m.latest() >= l.cfg.SuspicionTTL {
 			delete(l.marks, u)
 			continue
 		}
@@ -106,7 +106,7 @@
 		}
 		doubted[u] = true
 	}
-	if float64(members-len(doubted)) < l.cfg.LeastLeft*float64(members) {
+	if float64(members-len(doubted)) < l.cfg.MinUnsuspectedShare*float64(members) {
 		return nil
 	}
 	return doubted
--- a/internal/decide/burdockeject/eject.go
+++ b/internal/decide/burdockeject/eject.go
@@ -13,26 +13,26 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// Observation is what one offer tells of an upstream: Began, Answered, Failed
-// or Unreached; or Reached, what a probe without an offer does.
+// Observation is what one offer tells of an upstream: ResponseStarted, Completed, Failed
+// or ConnectFailed; or ProbeSucceeded, what a probe without an offer does.
 // A refusal is neither; it is load, not health.
 type Observation interface{ observation() }
 
-// Began is an offer that was taken and whose answer has begun. It shows that
+// ResponseStarted is an offer that was taken and whose answer has begun. It shows that
 // the upstream can be reached, long before the answer ends and shows its pace.
-type Began struct{}
+type ResponseStarted struct{}
 
-// Reached is a probe without a request: the upstream was asked how it is, and
+// ProbeSucceeded is a probe without a request: the upstream was asked how it is, and
 // answered.
-type Reached struct{}
-
-// Answered is work that an upstream completed.
-type Answered struct {
-	// Took is the time that the work took, without waiting in a queue.
-	Took burdockclock.Millis
-	// Work is how much it was.
-	Work burdockid.Tokens
-	// Samples is how many requests Took and Work are the mean of: 1 for what
+type ProbeSucceeded struct{}
+
+// Completed is work that an upstream completed.
+type Completed struct {
+	// Duration is the time that the work took, without waiting in a queue.
+	Duration burdockclock.Millis
+	// Cost is how much it was.
+	Cost burdockid.Tokens
+	// Samples is how many requests Duration and Cost are the mean of: 1 for what
 	// the entry saw itself, more where the upstream's agent reports the mean
 	// of its own recent ones. 0 counts as 1.
 	Samples int
@@ -41,14 +41,14 @@
 // Failed is an offer that broke: a silent connection, an answer cut.
 type Failed struct{}
 
-// Unreached is an offer that was never sent, since no connection could be made.
-type Unreached struct{}
+// ConnectFailed is an offer that was never sent, since no connection could be made.
+type ConnectFailed struct{}
 
-func (Began) observation()     {}
-func (Reached) observation()   {}
-func (Answered) observation()  {}
-func (Failed) observation()    {}
-func (Unreached) observation() {}
+func (ResponseStarted) observation() {}
+func (ProbeSucceeded) observation()  {}
+func (Completed) observation()       {}
+func (Failed) observation()          {}
+func (ConnectFailed) observation()   {}
 
 // Level is a degree of ejection.
 type Level uint8
@@ -58,7 +58,7 @@
 	LevelFull Level = iota
 	LevelHalf
 	LevelQuarter
-	LevelOut
+	LevelEjected
 )
 
 // Weight returns the share of its usual work that an upstream gets at l.
@@ -94,10 +94,10 @@
 
 // Causes of a change of level.
 const (
-	CauseSlow     Cause = "slow"
-	CauseFailing  Cause = "failing"
-	CauseLeaving  Cause = "leaving"
-	CauseRecovers Cause = "recovers"
+	CauseSlow      Cause = "slow"
+	CauseFailing   Cause = "failing"
+	CauseLeaving   Cause = "leaving"
+	CauseRecovered Cause = "recovers"
 )
 
 // Change is a change of one upstream's weight, to be handed to the placer and
--- a/internal/decide/burdockeject/eject_test.go
+++ b/internal/decide/burdockeject/eject_test.go
@@ -28,10 +28,10 @@
 
 // answer is one answer of usual length, stretched by slow, with the variation
 // of lengths that a healthy upstream shows.
-func answer(rnd *rand.Rand, slow float64) Answered {
+func answer(rnd *rand.Rand, slow float64) Completed {
 	work := 100 + rnd.IntN(400)
 	took := 40 * float64(work) * slow * math.Exp2(0.25*rnd.NormFloat64())
-	return Answered{Took: burdockclock.Millis(took), Work: burdockid.Tokens(work)}
+	return Completed{Duration: burdockclock.Millis(took), Cost: burdockid.Tokens(work)}
 }
 
 func ExampleTracker() {
@@ -115,7 +115,7 @@
 	for i := range 1000 {
 		u := all[rnd.IntN(len(all))]
 		if lost(u) {
-			tracker.Observe(burdockclock.Millis(i*100), u, Unreached{})
+			tracker.Observe(burdockclock.Millis(i*100), u, ConnectFailed{})
 			continue
 		}
 		tracker.Observe(burdockclock.Millis(i*100), u, answer(rnd, 1))
@@ -153,7 +153,7 @@
 	rnd := rand.New(rand.NewPCG(4, 2))
 	for i := range 6000 {
 		now := burdockclock.Minute + burdockclock.Millis(i*100)
-		if u, ok := tracker.Probe(now); ok {
+		if u, ok := tracker.NextProbe(now); ok {
 			tracker.Observe(now, u, answer(rnd, 1))
 		}
 		if u := all[i%16]; tracker.Weight(u) > 0 {
@@ -172,7 +172,7 @@
 	}
 	probes := 0
 	for now := burdockclock.Millis(0); now < 10*burdockclock.Minute; now += 100 {
-		if u, ok := tracker.Probe(now); ok {
+		if u, ok := tracker.NextProbe(now); ok {
 			tracker.Observe(now, u, Failed{})
 			probes++
 		}
@@ -188,7 +188,7 @@
 	tracker := testTracker(16, 8)
 	cut := 0
 	for ; tracker.Weight("replica-0001") > 0 && cut < 100; cut++ {
-		tracker.Observe(0, "replica-0001", Began{})
+		tracker.Observe(0, "replica-0001", ResponseStarted{})
 		tracker.Observe(0, "replica-0001", Failed{})
 	}
 	if got, want := cut, 10; got > want {
@@ -204,8 +204,8 @@
 	all := upstreams(16)
 	returns := 0
 	for now := burdockclock.Millis(0); now < 10*burdockclock.Minute; now += 50 {
-		if u, ok := tracker.Probe(now); ok {
-			if _, back := tracker.Observe(now, u, Reached{}); back {
+		if u, ok := tracker.NextProbe(now); ok {
+			if _, back := tracker.Observe(now, u, ProbeSucceeded{}); back {
 				returns++
 			}
 		}
@@ -226,13 +226,13 @@
 	tracker := testTracker(3800, 9)
 	for _, u := range upstreams(380) {
 		for range 10 {
-			tracker.Observe(0, u, Unreached{})
+			tracker.Observe(0, u, ConnectFailed{})
 		}
 	}
 	probes := 0
 	for now := burdockclock.Millis(0); now < burdockclock.Minute; now += 55 {
-		if u, ok := tracker.Probe(now); ok {
-			tracker.Observe(now, u, Unreached{})
+		if u, ok := tracker.NextProbe(now); ok {
+			tracker.Observe(now, u, ConnectFailed{})
 			probes++
 		}
 	}
@@ -246,13 +246,13 @@
 
 func TestLeavingGetsNothingAndIsNotProbed(t *testing.T) {
 	tracker := testTracker(2, 6)
-	if change, ok := tracker.Leave(0, "replica-0000"); !ok || change.Weight != 0 {
+	if change, ok := tracker.MarkLeaving(0, "replica-0000"); !ok || change.Weight != 0 {
 		t.Errorf("Leave = %+v, %t; want weight 0", change, ok)
 	}
 	rnd := rand.New(rand.NewPCG(6, 2))
 	for now := burdockclock.Millis(0); now < burdockclock.Hour; now += burdockclock.Second {
 		tracker.Observe(now, "replica-0000", answer(rnd, 1))
-		if u, ok := tracker.Probe(now); ok {
+		if u, ok := tracker.NextProbe(now); ok {
 			t.Fatalf("Probe = %s, want none", u)
 		}
 	}
@@ -274,15 +274,15 @@
 			"pass": func(t *rapid.T) { now += burdockclock.Millis(rapid.IntRange(0, 60_000).Draw(t, "ms")) },
 			"answer": func(t *rapid.T) {
 				took := burdockclock.Millis(rapid.IntRange(100, 20_000).Draw(t, "took"))
-				tracker.Observe(now, any(t), Answered{Took: took, Work: 100})
+				tracker.Observe(now, any(t), Completed{Duration: took, Cost: 100})
 			},
 			"fail":   func(t *rapid.T) { tracker.Observe(now, any(t), Failed{}) },
-			"miss":   func(t *rapid.T) { tracker.Observe(now, any(t), Unreached{}) },
-			"begin":  func(t *rapid.T) { tracker.Observe(now, any(t), Began{}) },
-			"reach":  func(t *rapid.T) { tracker.Observe(now, any(t), Reached{}) },
-			"leave":  func(t *rapid.T) { tracker.Leave(now, any(t)) },
-			"return": func(t *rapid.T) { tracker.Return(now, any(t)) },
-			"probe":  func(*rapid.T) { tracker.Probe(now) },
+			"miss":   func(t *rapid.T) { tracker.Observe(now, any(t), ConnectFailed{}) },
+			"begin":  func(t *rapid.T) { tracker.Observe(now, any(t), ResponseStarted{}) },
+			"reach":  func(t *rapid.T) { tracker.Observe(now, any(t), ProbeSucceeded{}) },
+			"leave":  func(t *rapid.T) { tracker.MarkLeaving(now, any(t)) },
+			"return": func(t *rapid.T) { tracker.Reset(now, any(t)) },
+			"probe":  func(*rapid.T) { tracker.NextProbe(now) },
 			"":       func(t *rapid.T) { checkTracker(t, tracker) },
 		})
 	})
@@ -315,7 +315,7 @@
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				now := burdockclock.Millis(i)
-				tracker.Probe(now)
+				tracker.NextProbe(now)
 				tracker.Observe(now, all[i%n], answer(rnd, 1))
 			}
 		})
--- a/internal/decide/burdockeject/judge.go
+++ b/internal/decide/burdockeject/judge.go
@@ -35,7 +35,7 @@
 	if r.leaving {
 		return Change{}, false
 	}
-	if r.level == LevelOut {
+	if r.level == LevelEjected {
 		return t.observeOut(now, r, score, cause)
 	}
 	return t.observeIn(now, r, score, cause)
@@ -46,10 +46,10 @@
 // so one that is out for being slow then gets a quarter of its work on trial.
 func concerns(o Observation, r *record) bool {
 	switch o.(type) {
-	case Began:
+	case ResponseStarted:
 		return r != nil && r.cause != CauseSlow
-	case Reached:
-		return r != nil && (r.cause != CauseSlow || r.level == LevelOut)
+	case ProbeSucceeded:
+		return r != nil && (r.cause != CauseSlow || r.level == LevelEjected)
 	}
 	return true
 }
@@ -58,15 +58,15 @@
 // upstream.
 func (t *Tracker) score(o Observation) (float64, Cause) {
 	switch o := o.(type) {
-	case Began, Reached:
+	case ResponseStarted, ProbeSucceeded:
 		// It weighs less than an answer: one that begins may still be cut, and an
 		// upstream that cuts each answer must fall.
 		return -t.cfg.Tolerance / 2, CauseFailing
 	case Failed:
 		return failureScore, CauseFailing
-	case Unreached:
+	case ConnectFailed:
 		return unreachedScore, CauseFailing
-	case Answered:
+	case Completed:
 		slow, judged := t.peers.slowness(o)
 		if !judged {
 			return -t.cfg.Tolerance, CauseSlow
@@ -77,19 +77,19 @@
 		const mostSamples = 4
 		samples := float64(min(max(o.Samples, 1), mostSamples))
 		score := (slow - t.cfg.Tolerance) * samples
-		return min(max(score, -t.cfg.MostScore), t.cfg.MostScore), CauseSlow
+		return min(max(score, -t.cfg.MaxScore), t.cfg.MaxScore), CauseSlow
 	default:
 		panic("burdockeject: no observation")
 	}
 }
 
 func (t *Tracker) observeIn(now burdockclock.Millis, r *record, score float64, cause Cause) (Change, bool) {
-	r.fade(now, t.cfg.HalfLife)
+	r.fade(now, t.cfg.ScoreHalfLife)
 	r.score = max(0, r.score+score)
 	switch {
 	case r.score >= t.evidence(r.level):
 		return t.fall(now, r, cause)
-	case r.score == 0 && r.level > LevelFull && now-r.changedAt >= t.cfg.RiseAfter:
+	case r.score == 0 && r.level > LevelFull && now-r.changedAt >= t.cfg.MinRecoveryInterval:
 		return t.rise(now, r)
 	}
 	if r.score == 0 && r.level == LevelFull {
@@ -104,9 +104,9 @@
 // hour to be rid of a dead one.
 func (t *Tracker) evidence(l Level) float64 {
 	if l == LevelFull {
-		return t.cfg.Evidence
+		return t.cfg.ScoreThreshold
 	}
-	return t.cfg.Evidence / 2
+	return t.cfg.ScoreThreshold / 2
 }
 
 // observeOut takes in the answer to a probe, or a late one to an offer from
@@ -142,7 +142,7 @@
 }
 
 func (t *Tracker) rise(now burdockclock.Millis, r *record) (Change, bool) {
-	return t.move(now, r, r.level-1, CauseRecovers), true
+	return t.move(now, r, r.level-1, CauseRecovered), true
 }
 
 // within reports whether r may stand at the level for that cause.
@@ -171,7 +171,7 @@
 
 func (t *Tracker) move(now burdockclock.Millis, r *record, level Level, cause Cause) Change {
 	kept := cause
-	if cause == CauseRecovers {
+	if cause == CauseRecovered {
 		kept = r.cause
 	}
 	t.account(r, -1)
@@ -180,7 +180,7 @@
 	t.account(r, 1)
 	r.changedAt = now
 	switch level {
-	case LevelOut:
+	case LevelEjected:
 		t.schedule(r, now+t.backoff(r.failures))
 		r.failures++
 	case LevelFull:
@@ -206,7 +206,7 @@
 	switch {
 	case r.leaving && r.place != noPlace:
 		panic("burdockeject: a leaving upstream is to be probed: " + string(r.upstream))
-	case !r.leaving && (r.level == LevelOut) != (r.place != noPlace):
+	case !r.leaving && (r.level == LevelEjected) != (r.place != noPlace):
 		panic("burdockeject: an ejected upstream is not to be probed: " + string(r.upstream))
 	case t.lostSlow < 0 || t.lostFailing < 0:
 		panic("burdockeject: more work given back than taken away")
--- a/internal/decide/burdockeject/members.go
+++ b/internal/decide/burdockeject/members.go
@@ -20,9 +20,9 @@
 	}
 }
 
-// Leave tells that u is leaving. It gets nothing new from now on, whatever
+// MarkLeaving tells that u is leaving. It gets nothing new from now on, whatever
 // the caps, and is not probed: it runs well, but it would cut off the work.
-func (t *Tracker) Leave(now burdockclock.Millis, u burdockid.Upstream) (Change, bool) {
+func (t *Tracker) MarkLeaving(now burdockclock.Millis, u burdockid.Upstream) (Change, bool) {
 	r := t.records[u]
 	if r == nil {
 		r = &record{upstream: u, scoredAt: now, place: noPlace}
@@ -34,21 +34,21 @@
 	t.account(r, -1)
 	t.unschedule(r)
 	r.leaving = true
-	r.level = LevelOut
+	r.level = LevelEjected
 	r.probing = false
 	t.verify(r)
-	return Change{Upstream: u, Level: LevelOut, Cause: CauseLeaving}, true
+	return Change{Upstream: u, Level: LevelEjected, Cause: CauseLeaving}, true
 }
 
-// Return tells that a new process has started in place of u. Nothing that was
+// Reset tells that a new process has started in place of u. Nothing that was
 // known of the old one holds for it.
-func (t *Tracker) Return(_ burdockclock.Millis, u burdockid.Upstream) (Change, bool) {
+func (t *Tracker) Reset(_ burdockclock.Millis, u burdockid.Upstream) (Change, bool) {
 	r := t.records[u]
 	if r == nil {
 		return Change{}, false
 	}
 	t.forget(r)
-	return Change{Upstream: u, Level: LevelFull, Weight: 1, Cause: CauseRecovers}, true
+	return Change{Upstream: u, Level: LevelFull, Weight: 1, Cause: CauseRecovered}, true
 }
 
 func (t *Tracker) forget(r *record) {
@@ -66,36 +66,36 @@
 	return r.level.Weight()
 }
 
-// Probe returns an ejected upstream that is due to be probed: by one request,
+// NextProbe returns an ejected upstream that is due to be probed: by one request,
 // which the caller offers to it in place of the upstream that its placer would
 // choose and which may be offered again after a failure; or by asking it how
-// it is, which ends in Reached or Unreached. No other is probed by the same call, and the same one not before
+// it is, which ends in ProbeSucceeded or ConnectFailed. No other is probed by the same call, and the same one not before
 // its answer.
-func (t *Tracker) Probe(now burdockclock.Millis) (burdockid.Upstream, bool) {
-	if len(t.probes) == 0 || t.probes[0].probeAt > now || t.probedAt+t.cfg.ProbeGap > now {
+func (t *Tracker) NextProbe(now burdockclock.Millis) (burdockid.Upstream, bool) {
+	if len(t.probes) == 0 || t.probes[0].probeAt > now || t.probedAt+t.cfg.MinProbeInterval > now {
 		return "", false
 	}
 	// A caller that asks seldom may take what it left, up to a few at a time.
-	t.probedAt = max(t.probedAt+t.cfg.ProbeGap, now-probeBurst*t.cfg.ProbeGap)
+	t.probedAt = max(t.probedAt+t.cfg.MinProbeInterval, now-probeBurst*t.cfg.MinProbeInterval)
 	r := t.probes[0]
 	if r.probing {
 		// The last probe was never told of.
 		r.failures++
 	}
 	r.probing = true
-	t.schedule(r, now+max(t.cfg.ProbeLost, t.backoff(r.failures)))
+	t.schedule(r, now+max(t.cfg.ProbeTimeout, t.backoff(r.failures)))
 	t.verify(r)
 	return r.upstream, true
 }
 
-// LastResort returns an ejected upstream for a request that no other is left for:
+// Fallback returns an ejected upstream for a request that no other is left for:
 // of those that aren't skipped the one that is due to be probed first. Its answer
 // counts as that of a probe.
 //
 // Load: few upstreams, of which the sound ones leave while another is out. Harm
 // prevented: every request is refused until a probe happens to be made, though the
 // upstream may long be well; one that fails loses nothing by it.
-func (t *Tracker) LastResort(skip func(burdockid.Upstream) bool) (burdockid.Upstream, bool) {
+func (t *Tracker) Fallback(skip func(burdockid.Upstream) bool) (burdockid.Upstream, bool) {
 	var found *record
 	for _, r := range t.probes {
 		if !skip(r.upstream) && (found == nil || r.probeAt < found.probeAt) {
--- a/internal/decide/burdockeject/peers.go
+++ b/internal/decide/burdockeject/peers.go
@@ -36,9 +36,9 @@
 // slowness returns by how many doublings the answer was slower than its peers,
 // negative where it was faster, and counts the answer among them. It returns
 // false while too little is known.
-func (p *peers) slowness(a Answered) (float64, bool) {
-	class := &p.classes[sizeClass(a.Work)]
-	pace := math.Log2(float64(max(a.Took, 1)) / float64(max(a.Work, 1)))
+func (p *peers) slowness(a Completed) (float64, bool) {
+	class := &p.classes[sizeClass(a.Cost)]
+	pace := math.Log2(float64(max(a.Duration, 1)) / float64(max(a.Cost, 1)))
 	judged := class.samples >= peerEvidence
 	slow := pace - class.mean
 	class.samples = min(class.samples+1, peerSamples)
--- a/internal/decide/burdockeject/probe.go
+++ b/internal/decide/burdockeject/probe.go
@@ -68,7 +68,7 @@
 // that failed.
 func (t *Tracker) backoff(failed int) burdockclock.Millis {
 	const maxDoublings = 20
-	most := min(t.cfg.ProbeAfter<<min(failed, maxDoublings), t.cfg.ProbeMost)
+	most := min(t.cfg.InitialProbeDelay<<min(failed, maxDoublings), t.cfg.MaxProbeDelay)
 	half := int64(most / 2)
 	return burdockclock.Millis(half + t.rnd.Int64N(half+1))
 }
--- a/internal/decide/burdockeject/state.go
+++ b/internal/decide/burdockeject/state.go
@@ -10,14 +10,14 @@
 
 // State is what a dump of the process shows of a tracker.
 type State struct {
-	Members     int           `json:"members"`
-	LostSlow    float64       `json:"lostSlow"`
-	LostFailing float64       `json:"lostFailing"`
-	Upstreams   []RecordState `json:"upstreams"`
+	Members              int             `json:"members"`
+	RemovedWeightSlow    float64         `json:"lostSlow"`
+	RemovedWeightFailing float64         `json:"lostFailing"`
+	Upstreams            []UpstreamState `json:"upstreams"`
 }
 
-// RecordState is what a dump shows of one upstream with evidence against it.
-type RecordState struct {
+// UpstreamState is what a dump shows of one upstream with evidence against it.
+type UpstreamState struct {
 	Upstream burdockid.Upstream  `json:"upstream"`
 	Level    string              `json:"level"`
 	Cause    Cause               `json:"cause"`
@@ -31,22 +31,22 @@
 // State returns a copy of what the tracker knows, ordered by upstream.
 func (t *Tracker) State() State {
 	s := State{
-		Members:     t.members,
-		LostSlow:    t.lostSlow,
-		LostFailing: t.lostFailing,
-		Upstreams:   make([]RecordState, 0, len(t.records)),
+		Members:              t.members,
+		RemovedWeightSlow:    t.lostSlow,
+		RemovedWeightFailing: t.lostFailing,
+		Upstreams:            make([]UpstreamState, 0, len(t.records)),
 	}
 	for _, r := range t.records {
 		s.Upstreams = append(s.Upstreams, r.state())
 	}
-	slices.SortFunc(s.Upstreams, func(a, b RecordState) int {
+	slices.SortFunc(s.Upstreams, func(a, b UpstreamState) int {
 		return strings.Compare(string(a.Upstream), string(b.Upstream))
 	})
 	return s
 }
 
-func (r *record) state() RecordState {
-	return RecordState{
+func (r *record) state() UpstreamState {
+	return UpstreamState{
 		Upstream: r.upstream,
 		Level:    r.level.String(),
 		Cause:    r.cause,
--- a/internal/decide/burdocklockstep/lockstep.go
+++ b/internal/decide/burdocklockstep/lockstep.go
@@ -16,32 +16,32 @@
 
 // States of a group.
 const (
-	// Moving: the group runs passes, or nothing says otherwise.
-	Moving State = "moving"
-	// Standing: streams run and none has had an event for several passes, as when
+	// Advancing: the group runs passes, or nothing says otherwise.
+	Advancing State = "moving"
+	// Stalled: streams run and none has had an event for several passes, as when
 	// a rank has died or an order holds the group.
-	Standing State = "standing"
+	Stalled State = "standing"
 	// Closed: engines that have room refuse, as while the group forms anew.
 	Closed State = "closed"
 )
 
 // Config holds the times of a View. A zero field takes its default.
 type Config struct {
-	// Stand is how long all streams may be without an event before the group is
+	// StallTimeout is how long all streams may be without an event before the group is
 	// taken to stand: several of its longest usual passes.
-	Stand burdockclock.Millis
-	// StandFirst is the same for an entry that has no stream with an event yet: first
+	StallTimeout burdockclock.Millis
+	// FirstEventTimeout is the same for an entry that has no stream with an event yet: first
 	// events take longer than the ones after them.
-	StandFirst burdockclock.Millis
-	// FirstProbe and MostProbe bound the time between two offers that find out
+	FirstEventTimeout burdockclock.Millis
+	// MinProbeInterval and MostProbe bound the time between two offers that find out
 	// whether a closed group has opened.
-	FirstProbe burdockclock.Millis
-	MostProbe  burdockclock.Millis
-	// Believe is how long a group is taken to be closed when no engine refuses any
+	MinProbeInterval burdockclock.Millis
+	MaxProbeInterval burdockclock.Millis
+	// ClosedTTL is how long a group is taken to be closed when no engine refuses any
 	// more: several probes. BelieveStand is the same for one that stood until its last
 	// caller had left, whose engines don't refuse.
-	Believe      burdockclock.Millis
-	BelieveStand burdockclock.Millis
+	ClosedTTL        burdockclock.Millis
+	StalledClosedTTL burdockclock.Millis
 }
 
 const (
@@ -80,43 +80,43 @@
 
 // New returns a view of a group of which nothing is known.
 func New(cfg Config) *View {
-	cfg.Stand = cmp.Or(cfg.Stand, defaultStand)
-	cfg.StandFirst = cmp.Or(cfg.StandFirst, defaultStandFirst)
-	cfg.FirstProbe = cmp.Or(cfg.FirstProbe, defaultFirstProbe)
-	cfg.MostProbe = cmp.Or(cfg.MostProbe, defaultMostProbe)
-	cfg.Believe = cmp.Or(cfg.Believe, defaultBelieve)
-	cfg.BelieveStand = cmp.Or(cfg.BelieveStand, defaultBelieveStand)
+	cfg.StallTimeout = cmp.Or(cfg.StallTimeout, defaultStand)
+	cfg.FirstEventTimeout = cmp.Or(cfg.FirstEventTimeout, defaultStandFirst)
+	cfg.MinProbeInterval = cmp.Or(cfg.MinProbeInterval, defaultFirstProbe)
+	cfg.MaxProbeInterval = cmp.Or(cfg.MaxProbeInterval, defaultMostProbe)
+	cfg.ClosedTTL = cmp.Or(cfg.ClosedTTL, defaultBelieve)
+	cfg.StalledClosedTTL = cmp.Or(cfg.StalledClosedTTL, defaultBelieveStand)
 	return &View{cfg: cfg, refused: map[burdockid.Upstream]bool{}}
 }
 
-// Offered tells of a stream that was offered to an engine.
-func (v *View) Offered(now burdockclock.Millis) {
+// StreamOffered tells of a stream that was offered to an engine.
+func (v *View) StreamOffered(now burdockclock.Millis) {
 	if v.pending == 0 {
 		v.pendingAt = now
 	}
 	v.pending++
 }
 
-// Began tells of the first event of such a stream.
-func (v *View) Began(now burdockclock.Millis) {
-	v.Event(now)
+// FirstEvent tells of the first event of such a stream.
+func (v *View) FirstEvent(now burdockclock.Millis) {
+	v.StreamEvent(now)
 	v.pending = max(v.pending-1, 0)
 	v.begun++
 }
 
-// Event tells of an event of a stream.
-func (v *View) Event(now burdockclock.Millis) {
+// StreamEvent tells of an event of a stream.
+func (v *View) StreamEvent(now burdockclock.Millis) {
 	v.stood = v.stoodAt(now)
 	v.eventAt = now
 	v.open()
 }
 
-// Ended tells that an offered stream runs no longer, if it had begun or not. A group
+// StreamEnded tells that an offered stream runs no longer, if it had begun or not. A group
 // that stands until the last caller has left is taken to be closed, as no stream is
 // there any more to show that it moves.
-func (v *View) Ended(now burdockclock.Millis, begun bool) {
-	if v.begun+v.pending <= 1 && v.State(now) == Standing {
-		v.close(now, v.cfg.BelieveStand)
+func (v *View) StreamEnded(now burdockclock.Millis, begun bool) {
+	if v.begun+v.pending <= 1 && v.State(now) == Stalled {
+		v.close(now, v.cfg.StalledClosedTTL)
 	}
 	if begun {
 		v.begun = max(v.begun-1, 0)
@@ -125,11 +125,11 @@
 	}
 }
 
-// Accepted tells that an engine has begun to answer, which those of a group that
+// EngineAccepted tells that an engine has begun to answer, which those of a group that
 // refused everything don't before it has opened.
-func (v *View) Accepted(now burdockclock.Millis) {
+func (v *View) EngineAccepted(now burdockclock.Millis) {
 	if v.closed && len(v.refused) >= refusals {
-		v.Event(now)
+		v.StreamEvent(now)
 	}
 }
 
@@ -144,14 +144,14 @@
 	clear(v.refused)
 }
 
-// Refused tells that an engine refused an offer although it has room.
-func (v *View) Refused(now burdockclock.Millis, u burdockid.Upstream) {
+// EngineRefused tells that an engine refused an offer although it has room.
+func (v *View) EngineRefused(now burdockclock.Millis, u burdockid.Upstream) {
 	v.refused[u] = true
-	v.believeUntil = max(v.believeUntil, now+v.cfg.Believe)
-	if v.State(now) == Closed || len(v.refused) < refusals || v.begun > 0 && now-v.eventAt < v.cfg.Stand {
+	v.believeUntil = max(v.believeUntil, now+v.cfg.ClosedTTL)
+	if v.State(now) == Closed || len(v.refused) < refusals || v.begun > 0 && now-v.eventAt < v.cfg.StallTimeout {
 		return
 	}
-	v.close(now, v.cfg.Believe)
+	v.close(now, v.cfg.ClosedTTL)
 }
 
 // State returns the group's state.
@@ -164,9 +164,9 @@
 	case v.closed && now < v.believeUntil:
 		return Closed
 	case now >= v.standsAt():
-		return Standing
+		return Stalled
 	}
-	return Moving
+	return Advancing
 }
 
 const never burdockclock.Millis = 1 << 62
@@ -175,27 +175,27 @@
 func (v *View) standsAt() burdockclock.Millis {
 	switch {
 	case v.begun > 0:
-		return v.eventAt + v.cfg.Stand
+		return v.eventAt + v.cfg.StallTimeout
 	case v.pending > 0:
-		return max(v.eventAt, v.pendingAt) + v.cfg.StandFirst
+		return max(v.eventAt, v.pendingAt) + v.cfg.FirstEventTimeout
 	}
 	return never
 }
 
-// Hint tells that the group is said to have opened, so that it is worth finding out
+// ProbeNow tells that the group is said to have opened, so that it is worth finding out
 // at once.
-func (v *View) Hint(now burdockclock.Millis) { v.probeAt, v.wait = now, 0 }
+func (v *View) ProbeNow(now burdockclock.Millis) { v.probeAt, v.wait = now, 0 }
 
-// ProbeAt returns when the next probe of a closed group is due.
-func (v *View) ProbeAt() burdockclock.Millis { return v.probeAt }
+// NextProbeAt returns when the next probe of a closed group is due.
+func (v *View) NextProbeAt() burdockclock.Millis { return v.probeAt }
 
-// Probe reports whether an offer may be made to a closed group now, and takes
+// TryProbe reports whether an offer may be made to a closed group now, and takes
 // the turn.
 //
 // Load: hundreds of requests that wait for a group to form. Harm prevented: each
 // offer that is refused counts against the retries that all entries share; one at
 // a time, ever more seldom, is enough to notice the opening.
-func (v *View) Probe(now burdockclock.Millis) bool {
+func (v *View) TryProbe(now burdockclock.Millis) bool {
 	if v.State(now) != Closed || now < v.probeAt {
 		return false
 	}
@@ -204,24 +204,24 @@
 }
 
 func (v *View) schedule(now burdockclock.Millis) {
-	v.wait = min(max(v.cfg.FirstProbe, v.wait+v.wait/probeGrowth), v.cfg.MostProbe)
+	v.wait = min(max(v.cfg.MinProbeInterval, v.wait+v.wait/probeGrowth), v.cfg.MaxProbeInterval)
 	v.probeAt = now + v.wait
 }
 
-// Moved returns now less the time in which the group ran no passes: a clock by
+// RunningClock returns now less the time in which the group ran no passes: a clock by
 // which what was told of the engines' load ages.
-func (v *View) Moved(now burdockclock.Millis) burdockclock.Millis { return now - v.stoodAt(now) }
+func (v *View) RunningClock(now burdockclock.Millis) burdockclock.Millis { return now - v.stoodAt(now) }
 
 func (v *View) stoodAt(now burdockclock.Millis) burdockclock.Millis {
 	switch v.State(now) {
 	case Closed:
 		return v.stood + now - v.closedAt
-	case Standing:
+	case Stalled:
 		return v.stood + now - v.standsAt()
 	}
 	return v.stood
 }
 
-// Pause reports whether the time between two events of a stream is that of a pass.
+// IsStepInterval reports whether the time between two events of a stream is that of a pass.
 // One in which the group stood tells nothing of how many streams it can run.
-func (v *View) Pause(pause burdockclock.Millis) bool { return pause < v.cfg.Stand }
+func (v *View) IsStepInterval(pause burdockclock.Millis) bool { return pause < v.cfg.StallTimeout }
--- a/internal/decide/burdockretry/decide.go
+++ b/internal/decide/burdockretry/decide.go
@@ -5,9 +5,9 @@
 // maxDoublings bounds the growth of the backoff.
 const maxDoublings = 6
 
-// Succeeded tells that an offer was taken and answered, or that its answer has
+// RecordSuccess tells that an offer was taken and answered, or that its answer has
 // begun. It pays for a fraction of a retry.
-func (b *Budget) Succeeded(now burdockclock.Millis) {
+func (b *Budget) RecordSuccess(now burdockclock.Millis) {
 	b.offers.add(now, b.cfg.Window)
 	b.successes.add(now, b.cfg.Window)
 }
@@ -20,13 +20,13 @@
 // again takes the place of one that could have been answered.
 func (b *Budget) Decide(now burdockclock.Millis, a Attempt) Decision {
 	switch outcome := a.Outcome.(type) {
-	case OverBound:
+	case OverLoadBound:
 		return b.decideOverBound(now, a)
-	case NotRun:
+	case Refused:
 		b.offers.add(now, b.cfg.Window)
 		b.refusals.add(now, b.cfg.Window)
 		return b.decideRetry(now, a, 0, outcome.RetryAfter)
-	case Leaving, Unreached:
+	case Leaving, ConnectFailed:
 		return b.decideGone(now, a)
 	case Failed:
 		b.offers.add(now, b.cfg.Window)
@@ -47,8 +47,8 @@
 	switch {
 	case !b.inTime(now, a, 0):
 		return b.giveUp(now, ReasonDeadline, 0)
-	case a.OverBound >= b.cfg.Enquiries:
-		return b.giveUp(now, ReasonOffers, 0)
+	case a.OverLoadBound >= b.cfg.MaxOverLoadBound:
+		return b.giveUp(now, ReasonMaxOffers, 0)
 	}
 	return Retry{}
 }
@@ -58,13 +58,13 @@
 // that leaves, adds none. A charge would give up the callers of a lost data
 // centre while the others have room, until its upstreams are ejected; and
 // those whose requests waited at an agent that is stopped as planned, all
-// refused in one instant. An upstream that has no room says NotRun.
+// refused in one instant. An upstream that has no room says Refused.
 func (b *Budget) decideGone(now burdockclock.Millis, a Attempt) Decision {
 	switch {
 	case !b.inTime(now, a, 0):
 		return b.giveUp(now, ReasonDeadline, 0)
-	case a.Offers-a.OverBound >= b.cfg.Unreached:
-		return b.giveUp(now, ReasonOffers, 0)
+	case a.Offers-a.OverLoadBound >= b.cfg.MaxUnchargedOffers:
+		return b.giveUp(now, ReasonMaxOffers, 0)
 	}
 	return Retry{}
 }
@@ -73,32 +73,32 @@
 	switch {
 	case !b.inTime(now, a, after):
 		return b.giveUp(now, ReasonDeadline, told)
-	case a.Offers-a.OverBound >= b.cfg.Offers:
-		return b.giveUp(now, ReasonOffers, told)
+	case a.Offers-a.OverLoadBound >= b.cfg.MaxOffers:
+		return b.giveUp(now, ReasonMaxOffers, told)
 	case b.mostRefuse(now):
-		return b.giveUp(now, ReasonMostRefuse, told)
+		return b.giveUp(now, ReasonHighRefusalRate, told)
 	case !b.affords(now):
 		return b.giveUp(now, ReasonBudget, told)
 	}
 	b.retries.add(now, b.cfg.Window)
 	b.verify(now)
-	return Retry{After: after}
+	return Retry{Delay: after}
 }
 
-// NoUpstream returns the decision for a request that no upstream could be
+// GiveUpNoUpstream returns the decision for a request that no upstream could be
 // found for.
-func (b *Budget) NoUpstream(now burdockclock.Millis) GiveUp {
+func (b *Budget) GiveUpNoUpstream(now burdockclock.Millis) GiveUp {
 	return b.giveUp(now, ReasonNoUpstream, 0)
 }
 
-// GroupClosed returns the decision for a request that waited in vain for a group
+// GiveUpGroupClosed returns the decision for a request that waited in vain for a group
 // of engines to open.
-func (b *Budget) GroupClosed(now burdockclock.Millis) GiveUp {
-	return b.giveUp(now, ReasonClosed, 0)
+func (b *Budget) GiveUpGroupClosed(now burdockclock.Millis) GiveUp {
+	return b.giveUp(now, ReasonGroupClosed, 0)
 }
 
 func (b *Budget) inTime(now burdockclock.Millis, a Attempt, after burdockclock.Millis) bool {
-	return a.Deadline == 0 || now+after+a.Needed < a.Deadline
+	return a.Deadline == 0 || now+after+a.MinResponseTime < a.Deadline
 }
 
 // mostRefuse reports whether offering again is pointless. First offers go on
@@ -106,16 +106,16 @@
 func (b *Budget) mostRefuse(now burdockclock.Millis) bool {
 	offers := b.offers.get(now, b.cfg.Window)
 	refusals := b.refusals.get(now, b.cfg.Window)
-	return offers >= b.cfg.Evidence && refusals > b.cfg.MostRefuse*offers
+	return offers >= b.cfg.MinRefusalSamples && refusals > b.cfg.MaxRefusalShare*offers
 }
 
 func (b *Budget) allowance(now burdockclock.Millis) float64 {
-	return b.cfg.Floor + b.cfg.Fraction*b.successes.get(now, b.cfg.Window)
+	return b.cfg.MinRetries + b.cfg.RetryRatio*b.successes.get(now, b.cfg.Window)
 }
 
-// Take charges a retry that its caller is free to make or not, and reports false if
+// TryAcquire charges a retry that its caller is free to make or not, and reports false if
 // the budget has none left.
-func (b *Budget) Take(now burdockclock.Millis) bool {
+func (b *Budget) TryAcquire(now burdockclock.Millis) bool {
 	if !b.affords(now) {
 		return false
 	}
@@ -138,7 +138,7 @@
 
 func (b *Budget) backoff(offers int) burdockclock.Millis {
 	doublings := min(max(offers-1, 0), maxDoublings)
-	return burdockclock.Millis(b.rnd.Int64N(int64(b.cfg.Backoff)<<doublings + 1))
+	return burdockclock.Millis(b.rnd.Int64N(int64(b.cfg.BaseBackoff)<<doublings + 1))
 }
 
 func (b *Budget) giveUp(now burdockclock.Millis, reason Reason, told burdockclock.Millis) GiveUp {
@@ -153,8 +153,8 @@
 // comeBack returns the time to come back. It grows with the share of offers
 // that were refused: the fuller the fleet, the further apart the returns.
 func (b *Budget) comeBack(now, told burdockclock.Millis) burdockclock.Millis {
-	base := max(told, b.cfg.ComeBack)
+	base := max(told, b.cfg.MinRetryAfter)
 	share := b.refusals.get(now, b.cfg.Window) / max(b.offers.get(now, b.cfg.Window), 1)
-	spread := b.cfg.Spread * (1 + share) * float64(base)
+	spread := b.cfg.RetryAfterJitter * (1 + share) * float64(base)
 	return base + burdockclock.Millis(b.rnd.Float64()*spread)
 }
--- a/internal/decide/burdockretry/retry.go
+++ b/internal/decide/burdockretry/retry.go
@@ -11,13 +11,13 @@
 	"burdockbend.example/burdockbend/internal/base/burdockclock"
 )
 
-// Outcome is how an offer ended: one of NotRun, Leaving, OverBound, Unreached
+// Outcome is how an offer ended: one of Refused, Leaving, OverLoadBound, ConnectFailed
 // and Failed.
 type Outcome interface{ outcome() }
 
-// NotRun is a refusal by an upstream's agent, which never handed the request
+// Refused is a refusal by an upstream's agent, which never handed the request
 // to its upstream.
-type NotRun struct {
+type Refused struct {
 	// RetryAfter is the time to come back that the refusal told; 0 if none.
 	RetryAfter burdockclock.Millis
 }
@@ -26,23 +26,23 @@
 // that waited there or had just come.
 type Leaving struct{}
 
-// OverBound is a refusal only because the offer carried a bound on the load.
+// OverLoadBound is a refusal only because the offer carried a bound on the load.
 // The upstream has room; another may have more.
-type OverBound struct{}
+type OverLoadBound struct{}
 
-// Unreached is an offer that was never sent, since no connection could be made.
+// ConnectFailed is an offer that was never sent, since no connection could be made.
 // The entry itself knows that the request did not run.
-type Unreached struct{}
+type ConnectFailed struct{}
 
 // Failed is an offer whose outcome is unknown: the connection broke, or the
 // answer never came. The request may have run.
 type Failed struct{}
 
-func (NotRun) outcome()    {}
-func (Leaving) outcome()   {}
-func (OverBound) outcome() {}
-func (Unreached) outcome() {}
-func (Failed) outcome()    {}
+func (Refused) outcome()       {}
+func (Leaving) outcome()       {}
+func (OverLoadBound) outcome() {}
+func (ConnectFailed) outcome() {}
+func (Failed) outcome()        {}
 
 // Attempt is what is known of a request after one of its offers ended.
 type Attempt struct {
@@ -50,14 +50,14 @@
 	Outcome Outcome
 	// Offers counts the offers made so far, the latest included.
 	Offers int
-	// OverBound counts those of them that ended in OverBound.
-	OverBound int
+	// OverLoadBound counts those of them that ended in OverLoadBound.
+	OverLoadBound int
 	// Idempotent reports whether running the request twice does no harm.
 	Idempotent bool
 	// Deadline is the instant at which the caller stops waiting; 0 if unknown.
 	Deadline burdockclock.Millis
-	// Needed is the least time in which an answer is of use; 0 if unknown.
-	Needed burdockclock.Millis
+	// MinResponseTime is the least time in which an answer is of use; 0 if unknown.
+	MinResponseTime burdockclock.Millis
 }
 
 // Decision is what to do next: Retry or GiveUp.
@@ -65,8 +65,8 @@
 
 // Retry asks for another offer, to another upstream where there is one.
 type Retry struct {
-	// After is how long to wait first. It is 0 unless the offer failed.
-	After burdockclock.Millis
+	// Delay is how long to wait first. It is 0 unless the offer failed.
+	Delay burdockclock.Millis
 }
 
 // GiveUp asks for the final answer to the caller, now. It is never held back:
@@ -89,15 +89,15 @@
 	ReasonUnknownOutcome Reason = "unknownOutcome"
 	// ReasonDeadline: no answer could come before the caller stops waiting.
 	ReasonDeadline Reason = "deadline"
-	// ReasonOffers: the request has been offered often enough.
-	ReasonOffers Reason = "offers"
-	// ReasonMostRefuse: most upstreams refuse, so one more would too.
-	ReasonMostRefuse Reason = "mostRefuse"
+	// ReasonMaxOffers: the request has been offered often enough.
+	ReasonMaxOffers Reason = "offers"
+	// ReasonHighRefusalRate: most upstreams refuse, so one more would too.
+	ReasonHighRefusalRate Reason = "mostRefuse"
 	// ReasonBudget: retries have used up their share of the work.
 	ReasonBudget Reason = "budget"
-	// ReasonClosed: the group of engines runs nothing, and did not begin to while
+	// ReasonGroupClosed: the group of engines runs nothing, and did not begin to while
 	// the request could wait.
-	ReasonClosed Reason = "groupClosed"
+	ReasonGroupClosed Reason = "groupClosed"
 	// ReasonCrashes: the request has crashed the upstreams that ran it.
 	ReasonCrashes Reason = "crashes"
 	// ReasonNoUpstream: there was no upstream to offer the request to.
--- a/internal/decide/burdockretry/retry_test.go
+++ b/internal/decide/burdockretry/retry_test.go
@@ -32,17 +32,17 @@
 		attempt Attempt
 		want    Reason // empty: retry
 	}{
-		{"not run", Attempt{Outcome: NotRun{}, Offers: 1}, ""},
-		{"not run, no time left", Attempt{Outcome: NotRun{}, Offers: 1, Deadline: 1100, Needed: 200}, ReasonDeadline},
-		{"not run, offered often", Attempt{Outcome: NotRun{}, Offers: 4}, ReasonOffers},
-		{"over the bound is free", Attempt{Outcome: OverBound{}, Offers: 5, OverBound: 5}, ""},
-		{"over the bound without end", Attempt{Outcome: OverBound{}, Offers: 9, OverBound: 9}, ReasonOffers},
-		{"over the bound, too late", Attempt{Outcome: OverBound{}, Offers: 1, Deadline: 1000}, ReasonDeadline},
+		{"not run", Attempt{Outcome: Refused{}, Offers: 1}, ""},
+		{"not run, no time left", Attempt{Outcome: Refused{}, Offers: 1, Deadline: 1100, MinResponseTime: 200}, ReasonDeadline},
+		{"not run, offered often", Attempt{Outcome: Refused{}, Offers: 4}, ReasonMaxOffers},
+		{"over the bound is free", Attempt{Outcome: OverLoadBound{}, Offers: 5, OverLoadBound: 5}, ""},
+		{"over the bound without end", Attempt{Outcome: OverLoadBound{}, Offers: 9, OverLoadBound: 9}, ReasonMaxOffers},
+		{"over the bound, too late", Attempt{Outcome: OverLoadBound{}, Offers: 1, Deadline: 1000}, ReasonDeadline},
 		{"leaving", Attempt{Outcome: Leaving{}, Offers: 1}, ""},
 		{"leaving, too late", Attempt{Outcome: Leaving{}, Offers: 1, Deadline: 1000}, ReasonDeadline},
-		{"never sent", Attempt{Outcome: Unreached{}, Offers: 1}, ""},
-		{"never sent, often", Attempt{Outcome: Unreached{}, Offers: 8}, ReasonOffers},
-		{"never sent, too late", Attempt{Outcome: Unreached{}, Offers: 1, Deadline: 1000}, ReasonDeadline},
+		{"never sent", Attempt{Outcome: ConnectFailed{}, Offers: 1}, ""},
+		{"never sent, often", Attempt{Outcome: ConnectFailed{}, Offers: 8}, ReasonMaxOffers},
+		{"never sent, too late", Attempt{Outcome: ConnectFailed{}, Offers: 1, Deadline: 1000}, ReasonDeadline},
 		{"unknown, idempotent", Attempt{Outcome: Failed{}, Offers: 1, Idempotent: true}, ""},
 		{"unknown, not idempotent", Attempt{Outcome: Failed{}, Offers: 1}, ReasonUnknownOutcome},
 	}
@@ -67,7 +67,7 @@
 			t.Fatalf("request %d: got %#v, want %#v", i, got, want)
 		}
 	}
-	if got, want := b.Decide(1000, Attempt{Outcome: NotRun{}, Offers: 1}), (Retry{}); got != want {
+	if got, want := b.Decide(1000, Attempt{Outcome: Refused{}, Offers: 1}), (Retry{}); got != want {
 		t.Errorf("the first refusal afterwards: got %#v, want %#v", got, want)
 	}
 }
@@ -81,7 +81,7 @@
 	retries := 0
 	for i := range 1000 {
 		now := burdockclock.Millis(i * 10)
-		switch d := b.Decide(now, Attempt{Outcome: NotRun{RetryAfter: 2000}, Offers: 1}).(type) {
+		switch d := b.Decide(now, Attempt{Outcome: Refused{RetryAfter: 2000}, Offers: 1}).(type) {
 		case Retry:
 			retries++
 		case GiveUp:
@@ -94,9 +94,9 @@
 		t.Errorf("retries = %d, want at most %d", got, want)
 	}
 	for i := range 2000 {
-		b.Succeeded(burdockclock.Millis(10_000 + i*10))
+		b.RecordSuccess(burdockclock.Millis(10_000 + i*10))
 	}
-	if _, ok := b.Decide(30_000, Attempt{Outcome: NotRun{}, Offers: 1}).(Retry); !ok {
+	if _, ok := b.Decide(30_000, Attempt{Outcome: Refused{}, Offers: 1}).(Retry); !ok {
 		t.Error("no retry once the upstreams take work again, want one")
 	}
 }
@@ -109,7 +109,7 @@
 	b := testBudget(3)
 	counts := make([]int, parts)
 	for range callers {
-		after := b.NoUpstream(0).RetryAfter
+		after := b.GiveUpNoUpstream(0).RetryAfter
 		counts[min(int(after-defaultComeBack)*parts/int(defaultComeBack), parts-1)]++
 	}
 	for i, got := range counts {
@@ -127,9 +127,9 @@
 		now := burdockclock.Second
 		t.Repeat(map[string]func(*rapid.T){
 			"pass":    func(t *rapid.T) { now += burdockclock.Millis(rapid.IntRange(0, 3000).Draw(t, "ms")) },
-			"succeed": func(*rapid.T) { b.Succeeded(now) },
+			"succeed": func(*rapid.T) { b.RecordSuccess(now) },
 			"end": func(t *rapid.T) {
-				outcomes := []Outcome{NotRun{}, Leaving{}, OverBound{}, Unreached{}, Failed{}}
+				outcomes := []Outcome{Refused{}, Leaving{}, OverLoadBound{}, ConnectFailed{}, Failed{}}
 				a := Attempt{
 					Outcome:    rapid.SampledFrom(outcomes).Draw(t, "outcome"),
 					Offers:     rapid.IntRange(1, 6).Draw(t, "offers"),
@@ -137,8 +137,8 @@
 					Deadline:   now + burdockclock.Millis(rapid.IntRange(1, 100).Draw(t, "left")),
 				}
 				retry, retried := b.Decide(now, a).(Retry)
-				if retried && now+retry.After >= a.Deadline {
-					t.Fatalf("retry after %d ms, want before the deadline", retry.After)
+				if retried && now+retry.Delay >= a.Deadline {
+					t.Fatalf("retry after %d ms, want before the deadline", retry.Delay)
 				}
 				if _, failed := a.Outcome.(Failed); retried && failed && !a.Idempotent {
 					t.Fatal("retried a request that may have run, want none")
--- a/internal/decide/burdockretry/state.go
+++ b/internal/decide/burdockretry/state.go
@@ -13,7 +13,7 @@
 	RecentOffers    float64           `json:"recentOffers"`
 	RecentRefusals  float64           `json:"recentRefusals"`
 	Allowance       float64           `json:"allowance"`
-	MostRefuse      bool              `json:"mostRefuse"`
+	HighRefusalRate bool              `json:"mostRefuse"`
 	GivenUp         map[Reason]uint64 `json:"givenUp"`
 }
 
@@ -25,7 +25,7 @@
 		RecentOffers:    b.offers.get(now, b.cfg.Window),
 		RecentRefusals:  b.refusals.get(now, b.cfg.Window),
 		Allowance:       b.allowance(now),
-		MostRefuse:      b.mostRefuse(now),
+		HighRefusalRate: b.mostRefuse(now),
 		GivenUp:         maps.Clone(b.given),
 	}
 }
--- a/internal/decide/burdockspeed/speed.go
+++ b/internal/decide/burdockspeed/speed.go
@@ -13,8 +13,8 @@
 // the same work.
 type Speed float64
 
-// Usual is the speed of an engine of which nothing else is known.
-const Usual Speed = 1
+// Baseline is the speed of an engine of which nothing else is known.
+const Baseline Speed = 1
 
 const (
 	// mostSlowdown bounds what is believed of an engine. One that takes a hundred
@@ -34,32 +34,32 @@
 // not a number, or out of all proportion.
 func FromSlowdown(times float64) (Speed, bool) {
 	if !(times >= leastSlowdown && times <= mostSlowdown) {
-		return Usual, false
+		return Baseline, false
 	}
 	return Speed(1 / times), true
 }
 
-// Notable reports whether an engine's speed has changed so much that others
+// SignificantChange reports whether an engine's speed has changed so much that others
 // should hear of it.
-func Notable(before, now Speed) bool {
+func SignificantChange(before, now Speed) bool {
 	return before != now && (before >= now*notable || now >= before*notable)
 }
 
-// Slow reports whether an engine is notably slower than usual; one whose speed is
+// IsSlow reports whether an engine is notably slower than usual; one whose speed is
 // not known, 0, is not.
-func Slow(s Speed) bool { return s > 0 && s < Usual && Notable(Usual, s) }
+func IsSlow(s Speed) bool { return s > 0 && s < Baseline && SignificantChange(Baseline, s) }
 
-// Work is what the operators publish of an engine's work in one step.
-type Work struct {
-	// FixedMillis is the part of a step that doesn't depend on what runs.
-	FixedMillis float64
-	// SequenceMillis is the part for each request that runs.
-	SequenceMillis float64
+// StepCost is what the operators publish of an engine's work in one step.
+type StepCost struct {
+	// BaseStepMillis is the part of a step that doesn't depend on what runs.
+	BaseStepMillis float64
+	// StepMillisPerRequest is the part for each request that runs.
+	StepMillisPerRequest float64
 	// ExpertShare is the part of SequenceMillis that the group's experts do,
 	// wherever they are held; the rest is the engine's own.
 	ExpertShare float64
-	// Requests is how many requests an engine usually runs at a time.
-	Requests float64
+	// TypicalRequests is how many requests an engine usually runs at a time.
+	TypicalRequests float64
 }
 
 // leastWeight keeps a slow engine in reach: when no other may be chosen, an
@@ -76,15 +76,15 @@
 // engine gets as many as leave its own part as long as that of its peers, which
 // is none as soon as its fixed part alone is longer. With the figures of a group
 // that runs seven requests at each engine that is so from a slowdown of 1.2 on.
-func (w Work) Weight(s Speed) float64 {
-	if s >= Usual {
+func (w StepCost) Weight(s Speed) float64 {
+	if s >= Baseline {
 		return 1
 	}
-	own := w.SequenceMillis * (1 - w.ExpertShare) * w.Requests
+	own := w.StepMillisPerRequest * (1 - w.ExpertShare) * w.TypicalRequests
 	if !(own > 0) || math.IsInf(own, 0) {
 		return leastWeight
 	}
-	weight := float64(s) - w.FixedMillis/own*(1-float64(s))
+	weight := float64(s) - w.BaseStepMillis/own*(1-float64(s))
 	return math.Max(leastWeight, weight)
 }
 
--- a/internal/decide/burdockspeed/speed_test.go
+++ b/internal/decide/burdockspeed/speed_test.go
@@ -15,11 +15,11 @@
 		{2.8, 1 / 2.8, true},
 		{0.5, 2, true},
 		{100, 0.01, true},
-		{0, Usual, false},
-		{-3, Usual, false},
-		{1e9, Usual, false},
-		{math.NaN(), Usual, false},
-		{math.Inf(1), Usual, false},
+		{0, Baseline, false},
+		{-3, Baseline, false},
+		{1e9, Baseline, false},
+		{math.NaN(), Baseline, false},
+		{math.Inf(1), Baseline, false},
 	} {
 		got, known := FromSlowdown(c.times)
 		if got != c.want || known != c.known {
@@ -35,14 +35,14 @@
 	}{
 		{1, 1, false}, {1, 0.95, false}, {1, 0.9, true}, {0.5, 0.52, false}, {0.36, 1, true}, {0.36, 0.18, true},
 	} {
-		if got := Notable(c.before, c.now); got != c.want {
-			t.Errorf("Notable(%v, %v): got %t, want %t", c.before, c.now, got, c.want)
+		if got := SignificantChange(c.before, c.now); got != c.want {
+			t.Errorf("SignificantChange(%v, %v): got %t, want %t", c.before, c.now, got, c.want)
 		}
 	}
 }
 
 // spa is the published work of engines that run seven requests at a time.
-var spa = Work{FixedMillis: 4.55, SequenceMillis: 0.92, ExpertShare: 0.85, Requests: 7}
+var spa = StepCost{BaseStepMillis: 4.55, StepMillisPerRequest: 0.92, ExpertShare: 0.85, TypicalRequests: 7}
 
 func TestWeightFallsToTheLeastWithTheSpeed(t *testing.T) {
 	last := 2.0
@@ -64,24 +64,24 @@
 // a pass longer than that of its peers.
 func TestWeightKeepsTheOwnPartOfAPass(t *testing.T) {
 	own := func(s Speed, requests float64) float64 {
-		return (spa.FixedMillis + spa.SequenceMillis*(1-spa.ExpertShare)*requests) / float64(s)
+		return (spa.BaseStepMillis + spa.StepMillisPerRequest*(1-spa.ExpertShare)*requests) / float64(s)
 	}
 	for _, s := range []Speed{0.99, 0.95, 0.9, 0.85} {
 		weight := spa.Weight(s)
 		if weight == leastWeight {
 			continue
 		}
-		if got, want := own(s, weight*spa.Requests), own(Usual, spa.Requests); got > want*1.0001 {
+		if got, want := own(s, weight*spa.TypicalRequests), own(Baseline, spa.TypicalRequests); got > want*1.0001 {
 			t.Errorf("own part at speed %v: got %.3f ms, want at most %.3f", s, got, want)
 		}
 	}
 }
 
 func TestUnknownWorkGivesASlowEngineTheLeast(t *testing.T) {
-	if got := (Work{}).Weight(0.9); got != leastWeight {
+	if got := (StepCost{}).Weight(0.9); got != leastWeight {
 		t.Errorf("got %g, want %g", got, leastWeight)
 	}
-	if got := (Work{}).Weight(Usual); got != 1 {
+	if got := (StepCost{}).Weight(Baseline); got != 1 {
 		t.Errorf("at the usual speed: got %g, want 1", got)
 	}
 }
@@ -97,7 +97,7 @@
 		{"most slow", []Speed{0.25, 0.25, 1}, []Speed{1, 1, 1}},
 		{"one slower among slow ones", []Speed{0.5, 0.25, 0.5}, []Speed{1, 0.5, 1}},
 	} {
-		got := Relative(c.speeds)
+		got := RelativeToMedian(c.speeds)
 		for i := range c.want {
 			if len(got) != len(c.want) || got[i] != c.want[i] {
 				t.Errorf("%s: got %v, want %v", c.name, got, c.want)
--- a/internal/decide/burdocksuspect/suspect.go
+++ b/internal/decide/burdocksuspect/suspect.go
@@ -1,7 +1,7 @@
 // Package burdocksuspect finds the requests that crash whatever upstream runs
 // them, from which requests ran at upstreams that crashed.
 //
-// The package is pure: time is passed in. A Ledger is not safe for concurrent use.
+// The package is pure: time is passed in. A Tracker is not safe for concurrent use.
 package burdocksuspect
 
 import (
@@ -19,15 +19,15 @@
 	At       burdockclock.Millis
 }
 
-// Config holds the limits of a Ledger. A zero field takes its default.
+// Config holds the limits of a Tracker. A zero field takes its default.
 type Config struct {
-	// Memory is how long after the latest crash a request is kept from upstreams.
-	Memory burdockclock.Millis
-	// Together is how close to each other crashes of two upstreams are that may have
+	// TTL is how long after the latest crash a request is kept from upstreams.
+	TTL burdockclock.Millis
+	// CorrelationWindow is how close to each other crashes of two upstreams are that may have
 	// one cause.
-	Together burdockclock.Millis
-	// Most bounds the number of requests that are remembered.
-	Most int
+	CorrelationWindow burdockclock.Millis
+	// MaxRequests bounds the number of requests that are remembered.
+	MaxRequests int
 }
 
 const (
@@ -40,8 +40,8 @@
 	anyCrashes  = 3
 )
 
-// Ledger holds the crashes that are known.
-type Ledger struct {
+// Tracker holds the crashes that are known.
+type Tracker struct {
 	cfg     Config
 	crashes map[Digest][]Crash
 	// upstreams holds when each upstream crashed.
@@ -53,22 +53,22 @@
 const forgetEvery = burdockclock.Second
 
 // New returns an empty ledger.
-func New(cfg Config) *Ledger {
-	cfg.Memory = cmp.Or(cfg.Memory, defaultMemory)
-	cfg.Together = cmp.Or(cfg.Together, defaultTogether)
-	cfg.Most = cmp.Or(cfg.Most, defaultMost)
-	return &Ledger{cfg: cfg, crashes: map[Digest][]Crash{}, upstreams: map[burdockid.Upstream]burdockclock.Millis{}}
+func New(cfg Config) *Tracker {
+	cfg.TTL = cmp.Or(cfg.TTL, defaultMemory)
+	cfg.CorrelationWindow = cmp.Or(cfg.CorrelationWindow, defaultTogether)
+	cfg.MaxRequests = cmp.Or(cfg.MaxRequests, defaultMost)
+	return &Tracker{cfg: cfg, crashes: map[Digest][]Crash{}, upstreams: map[burdockid.Upstream]burdockclock.Millis{}}
 }
 
 // Add takes in a crash, and reports whether it is news. One that is told from the
 // future counts as of now.
-func (l *Ledger) Add(now burdockclock.Millis, c Crash) bool {
+func (l *Tracker) Add(now burdockclock.Millis, c Crash) bool {
 	l.forget(now)
 	c.At = min(c.At, now)
-	if now-c.At > l.cfg.Memory || l.knows(c) {
+	if now-c.At > l.cfg.TTL || l.knows(c) {
 		return false
 	}
-	if len(l.crashes[c.Request]) == 0 && len(l.crashes) >= l.cfg.Most {
+	if len(l.crashes[c.Request]) == 0 && len(l.crashes) >= l.cfg.MaxRequests {
 		return false
 	}
 	l.crashes[c.Request] = append(l.crashes[c.Request], c)
@@ -78,23 +78,23 @@
 	return true
 }
 
-func (l *Ledger) knows(c Crash) bool {
+func (l *Tracker) knows(c Crash) bool {
 	return slices.ContainsFunc(l.crashes[c.Request], func(k Crash) bool { return k.Upstream == c.Upstream })
 }
 
 // forget drops what is older than the memory.
-func (l *Ledger) forget(now burdockclock.Millis) {
+func (l *Tracker) forget(now burdockclock.Millis) {
 	if now < l.forgetAt {
 		return
 	}
 	l.forgetAt = now + forgetEvery
 	for d, crashes := range l.crashes {
-		if now-latest(crashes) > l.cfg.Memory {
+		if now-latest(crashes) > l.cfg.TTL {
 			delete(l.crashes, d)
 		}
 	}
 	for u, at := range l.upstreams {
-		if now-at > l.cfg.Memory {
+		if now-at > l.cfg.TTL {
 			delete(l.upstreams, u)
 		}
 	}
@@ -109,9 +109,9 @@
 }
 
 // Empty reports whether no crash is known, so that no request need be looked up.
-func (l *Ledger) Empty() bool { return len(l.crashes) == 0 }
+func (l *Tracker) Empty() bool { return len(l.crashes) == 0 }
 
-// Quarantined returns how much longer a request is kept from upstreams; 0 if it
+// QuarantineRemaining returns how much longer a request is kept from upstreams; 0 if it
 // isn't.
 //
 // Load: a request that crashes whatever runs it and comes again at any entry,
@@ -120,7 +120,7 @@
 // the streams of all ranks. Two crashes that nothing else explains are enough,
 // since a sound request hardly meets two; where several upstreams crash at a time,
 // as by a fault of their own, a sound one may, and a third is needed.
-func (l *Ledger) Quarantined(now burdockclock.Millis, d Digest) burdockclock.Millis {
+func (l *Tracker) QuarantineRemaining(now burdockclock.Millis, d Digest) burdockclock.Millis {
 	crashes := l.crashes[d]
 	lone := 0
 	for _, c := range crashes {
@@ -131,14 +131,14 @@
 	if lone < loneCrashes && len(crashes) < anyCrashes {
 		return 0
 	}
-	return max(latest(crashes)+l.cfg.Memory-now, 0)
+	return max(latest(crashes)+l.cfg.TTL-now, 0)
 }
 
 // lone reports whether no other upstream crashed about when that of c did, but
 // those at which the same request ran.
-func (l *Ledger) lone(c Crash, own []Crash) bool {
+func (l *Tracker) lone(c Crash, own []Crash) bool {
 	for u, at := range l.upstreams {
-		near := max(at-c.At, c.At-at) <= l.cfg.Together
+		near := max(at-c.At, c.At-at) <= l.cfg.CorrelationWindow
 		if near && !slices.ContainsFunc(own, func(k Crash) bool { return k.Upstream == u }) {
 			return false
 		}
@@ -146,28 +146,28 @@
 	return true
 }
 
-// Suspect is a request that is remembered.
-type Suspect struct {
-	Request Digest               `json:"-"`
-	Name    string               `json:"request"`
-	Crashes []burdockid.Upstream `json:"crashes"` // upstreams, the first crash first
-	// LeftMillis is how much longer it is kept from upstreams; 0 if it isn't.
-	LeftMillis burdockclock.Millis `json:"leftMillis"`
+// CrashingRequest is a request that is remembered.
+type CrashingRequest struct {
+	Digest           Digest               `json:"-"`
+	DigestText       string               `json:"request"`
+	CrashedUpstreams []burdockid.Upstream `json:"crashes"` // upstreams, the first crash first
+	// QuarantineRemainingMillis is how much longer it is kept from upstreams; 0 if it isn't.
+	QuarantineRemainingMillis burdockclock.Millis `json:"leftMillis"`
 }
 
-// Suspects returns the requests that are remembered, those that crashed most first.
-func (l *Ledger) Suspects(now burdockclock.Millis) []Suspect {
-	var all []Suspect
+// CrashingRequests returns the requests that are remembered, those that crashed most first.
+func (l *Tracker) CrashingRequests(now burdockclock.Millis) []CrashingRequest {
+	var all []CrashingRequest
 	for d, crashes := range l.crashes {
-		s := Suspect{Request: d, Name: d.String(), LeftMillis: l.Quarantined(now, d)}
+		s := CrashingRequest{Digest: d, DigestText: d.String(), QuarantineRemainingMillis: l.QuarantineRemaining(now, d)}
 		ordered := slices.SortedFunc(slices.Values(crashes), func(a, b Crash) int { return cmp.Compare(a.At, b.At) })
 		for _, c := range ordered {
-			s.Crashes = append(s.Crashes, c.Upstream)
+			s.CrashedUpstreams = append(s.CrashedUpstreams, c.Upstream)
 		}
 		all = append(all, s)
 	}
-	slices.SortFunc(all, func(a, b Suspect) int {
-		return cmp.Or(cmp.Compare(len(b.Crashes), len(a.Crashes)), cmp.Compare(a.Name, b.Name))
+	slices.SortFunc(all, func(a, b CrashingRequest) int {
+		return cmp.Or(cmp.Compare(len(b.CrashedUpstreams), len(a.CrashedUpstreams)), cmp.Compare(a.DigestText, b.DigestText))
 	})
 	return all
 }
--- a/internal/decide/burdocksuspect/suspect_test.go
+++ b/internal/decide/burdocksuspect/suspect_test.go
@@ -11,9 +11,9 @@
 
 func digest(n int) Digest { return DigestOf("POST", "/a", "acme", fmt.Append(nil, n)) }
 
-func wantLeft(t *testing.T, l *Ledger, what string, now burdockclock.Millis, d Digest, want burdockclock.Millis) {
+func wantLeft(t *testing.T, l *Tracker, what string, now burdockclock.Millis, d Digest, want burdockclock.Millis) {
 	t.Helper()
-	if got := l.Quarantined(now, d); got != want {
+	if got := l.QuarantineRemaining(now, d); got != want {
 		t.Errorf("%s: got %d ms left, want %d", what, got, want)
 	}
 }
@@ -21,7 +21,7 @@
 // Guards against a request that goes on crashing upstreams, and against holding
 // back for ever one that was taken for it.
 func TestCrashingRequestIsKeptAfterTwoLoneCrashes(t *testing.T) {
-	l := New(Config{Memory: 10_000})
+	l := New(Config{TTL: 10_000})
 	l.Add(1000, Crash{digest(1), "a", 1000})
 	l.Add(1000, Crash{digest(2), "a", 1000})
 	wantLeft(t, l, "after one crash", 1000, digest(1), 0)
@@ -52,15 +52,15 @@
 
 // Guards against memory that grows with the crashes of a fleet's life.
 func TestLedgerIsBounded(t *testing.T) {
-	l := New(Config{Most: 100, Memory: 1000})
+	l := New(Config{MaxRequests: 100, TTL: 1000})
 	for i := range 1000 {
 		l.Add(10, Crash{digest(i), "u", 10})
 	}
-	if got, want := len(l.Suspects(10)), 100; got != want {
+	if got, want := len(l.CrashingRequests(10)), 100; got != want {
 		t.Errorf("requests remembered: got %d, want %d", got, want)
 	}
 	l.Add(5000, Crash{digest(1), "v", 5000})
-	if got, want := len(l.Suspects(5000)), 1; got != want {
+	if got, want := len(l.CrashingRequests(5000)), 1; got != want {
 		t.Errorf("requests remembered later: got %d, want %d", got, want)
 	}
 }
@@ -94,7 +94,7 @@
 		}
 		for _, d := range requests {
 			sound++
-			if l.Quarantined(now, d) > 0 {
+			if l.QuarantineRemaining(now, d) > 0 {
 				kept++
 			}
 		}
--- a/internal/measure/burdockplacelab/entry.go
+++ b/internal/measure/burdockplacelab/entry.go
@@ -33,7 +33,7 @@
 
 // choose returns the replica that the request is offered to.
 func (e *entry) choose(w *world, req *request) int {
-	if probed, ok := e.tracker.Probe(w.now); ok {
+	if probed, ok := e.tracker.NextProbe(w.now); ok {
 		req.maxLoad = 0
 		e.placer.Sent(w.now, probed, req.output)
 		return w.indexOf[probed]
@@ -65,7 +65,7 @@
 	sum := 0.0
 	for _, e := range w.entries {
 		state := e.tracker.State()
-		sum += state.LostSlow + state.LostFailing
+		sum += state.RemovedWeightSlow + state.RemovedWeightFailing
 	}
 	return sum / float64(max(len(w.entries), 1))
 }
@@ -79,9 +79,9 @@
 // again reports whether the request is offered again after the outcome.
 func (e *entry) again(now burdockclock.Millis, req *request, outcome burdockretry.Outcome) bool {
 	_, retry := e.budget.Decide(now, burdockretry.Attempt{
-		Outcome:   outcome,
-		Offers:    req.offers,
-		OverBound: req.overBound,
+		Outcome:       outcome,
+		Offers:        req.offers,
+		OverLoadBound: req.overBound,
 	}).(burdockretry.Retry)
 	return retry
 }
--- a/internal/measure/burdockplacelab/event.go
+++ b/internal/measure/burdockplacelab/event.go
@@ -59,7 +59,7 @@
 	report  burdockplace.Report
 	// ended is what the entry may judge the replica by once the answer has
 	// ended, and nil before.
-	ended *burdockeject.Answered
+	ended *burdockeject.Completed
 }
 
 // sampling is the time to look at all loads.
--- a/internal/measure/burdockplacelab/world.go
+++ b/internal/measure/burdockplacelab/world.go
@@ -187,11 +187,11 @@
 	r := &w.replicas[e.replica]
 	switch {
 	case r.down:
-		w.refuse(e, burdockretry.Unreached{})
+		w.refuse(e, burdockretry.ConnectFailed{})
 	case !r.takes(e.req):
-		w.refuse(e, burdockretry.OverBound{})
+		w.refuse(e, burdockretry.OverLoadBound{})
 	case r.full():
-		w.refuse(e, burdockretry.NotRun{})
+		w.refuse(e, burdockretry.Refused{})
 	case len(r.active) < r.slots:
 		w.start(e.req, e.replica)
 	default:
@@ -208,9 +208,9 @@
 func (w *world) handleRefusal(e refusal) {
 	e.req.refused = append(e.req.refused, e.replica)
 	switch e.outcome.(type) {
-	case burdockretry.OverBound:
+	case burdockretry.OverLoadBound:
 		e.req.overBound++
-	case burdockretry.Unreached:
+	case burdockretry.ConnectFailed:
 		e.req.unreached++
 	}
 	again := e.req.offers < naiveOffers
@@ -227,8 +227,8 @@
 func (w *world) refusedOurs(e refusal) bool {
 	entry, name := w.entries[e.req.entry], w.names[e.replica]
 	entry.placer.Done(w.now, name, 0)
-	if _, gone := e.outcome.(burdockretry.Unreached); gone {
-		entry.observe(w.now, name, burdockeject.Unreached{})
+	if _, gone := e.outcome.(burdockretry.ConnectFailed); gone {
+		entry.observe(w.now, name, burdockeject.ConnectFailed{})
 	} else {
 		entry.placer.Report(w.now, name, e.report)
 	}
@@ -277,14 +277,14 @@
 		r.queue = r.queue[1:]
 		w.start(next, e.replica)
 	}
-	w.tell(e.req, e.replica, &burdockeject.Answered{Took: e.took, Work: e.req.output})
+	w.tell(e.req, e.replica, &burdockeject.Completed{Duration: e.took, Cost: e.req.output})
 	if next := w.workload.following(e.req, w.now); next != nil {
 		w.agenda.add(next.arrived, arrival{req: next})
 	}
 }
 
 // tell sends the load of a replica to the entry with an answer.
-func (w *world) tell(req *request, index int, ended *burdockeject.Answered) {
+func (w *world) tell(req *request, index int, ended *burdockeject.Completed) {
 	if len(w.entries) == 0 {
 		return
 	}
@@ -298,7 +298,7 @@
 		entry.placer.Done(w.now, name, 0)
 		entry.observe(w.now, name, *e.ended)
 	} else {
-		entry.observe(w.now, name, burdockeject.Began{})
+		entry.observe(w.now, name, burdockeject.ResponseStarted{})
 	}
 	entry.placer.Report(w.now, name, e.report)
 }
--- a/internal/serve/burdockdirect/crashes.go
+++ b/internal/serve/burdockdirect/crashes.go
@@ -37,7 +37,7 @@
 	tell  func([]burdocksuspect.Crash) // tells the other entries; may be nil
 
 	mu       sync.Mutex
-	ledger   *burdocksuspect.Ledger
+	ledger   *burdocksuspect.Tracker
 	examined map[burdockid.Upstream]*examination
 	// crashed holds when upstreams crashed of late.
 	crashed map[burdockid.Upstream]burdockclock.Millis
@@ -46,7 +46,7 @@
 func newCrashes(deps Deps, memory burdockclock.Millis) *crashes {
 	return &crashes{
 		clock: deps.Clock, site: deps.Site, log: deps.Log, tell: deps.TellCrashes,
-		ledger:   burdocksuspect.New(burdocksuspect.Config{Memory: memory}),
+		ledger:   burdocksuspect.New(burdocksuspect.Config{TTL: memory}),
 		examined: map[burdockid.Upstream]*examination{}, crashed: map[burdockid.Upstream]burdockclock.Millis{},
 	}
 }
@@ -64,14 +64,14 @@
 	if c.ledger.Empty() {
 		return 0
 	}
-	return c.ledger.Quarantined(c.clock.Now(), req.digest())
+	return c.ledger.QuarantineRemaining(c.clock.Now(), req.digest())
 }
 
 // suspects returns the requests that are remembered.
-func (c *crashes) suspects() []burdocksuspect.Suspect {
+func (c *crashes) suspects() []burdocksuspect.CrashingRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.ledger.Suspects(c.clock.Now())
+	return c.ledger.CrashingRequests(c.clock.Now())
 }
 
 // told takes in what other entries know.
@@ -89,7 +89,7 @@
 	if !c.ledger.Add(now, crash) {
 		return false
 	}
-	if left := c.ledger.Quarantined(now, crash.Request); left > 0 {
+	if left := c.ledger.QuarantineRemaining(now, crash.Request); left > 0 {
 		c.log.Warn("request crashes upstreams", zap.Stringer("request", crash.Request),
 			zap.String("upstream", string(crash.Upstream)), zap.Int64("keptMillis", int64(left)))
 	}
@@ -210,4 +210,4 @@
 func (e *Entry) SetCrashes(all []burdocksuspect.Crash) { e.crashes.told(all) }
 
 // Suspects returns the requests that ran at upstreams which crashed, for operators.
-func (e *Entry) Suspects() []burdocksuspect.Suspect { return e.crashes.suspects() }
+func (e *Entry) Suspects() []burdocksuspect.CrashingRequest { return e.crashes.suspects() }
--- a/internal/serve/burdockdirect/crashes_test.go
+++ b/internal/serve/burdockdirect/crashes_test.go
@@ -135,8 +135,8 @@
 	wg.Wait()
 	time.Sleep(upstreamDial)
 	for _, s := range f.fixtures[0].entry.Suspects() {
-		if s.LeftMillis > 0 {
-			t.Errorf("request %s: got %d ms of quarantine, want none", s.Name, s.LeftMillis)
+		if s.QuarantineRemainingMillis > 0 {
+			t.Errorf("request %s: got %d ms of quarantine, want none", s.DigestText, s.QuarantineRemainingMillis)
 		}
 	}
 }
--- a/internal/serve/burdockdirect/doubt.go
+++ b/internal/serve/burdockdirect/doubt.go
@@ -16,7 +16,7 @@
 func (p *pool) doubt(now burdockclock.Millis, u burdockid.Upstream) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.engine == nil && p.doubts.Saw(now, u, len(p.members)) && p.entry.deps.TellDoubt != nil {
+	if p.engine == nil && p.doubts.RecordLocalFailure(now, u, len(p.members)) && p.entry.deps.TellDoubt != nil {
 		p.entry.deps.TellDoubt(u)
 	}
 }
@@ -36,7 +36,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.isMember(u) {
-		p.doubts.Told(now, u)
+		p.doubts.RecordRemoteFailure(now, u)
 		p.entry.deps.Log.Info("upstream in doubt", zap.String("upstream", string(u)), zap.String("service", string(p.service)))
 	}
 }
@@ -52,5 +52,5 @@
 	if req.route.Repeatable() {
 		return nil
 	}
-	return p.doubts.Doubted(now, len(p.members))
+	return p.doubts.Suspected(now, len(p.members))
 }
--- a/internal/serve/burdockdirect/gate.go
+++ b/internal/serve/burdockdirect/gate.go
@@ -191,9 +191,9 @@
 		return
 	}
 	if g.group != nil {
-		g.group.Event(g.clock.Boot())
+		g.group.StreamEvent(g.clock.Boot())
 	}
-	if g.group == nil || g.group.Pause(pause) {
+	if g.group == nil || g.group.IsStepInterval(pause) {
 		g.pace.Pause(g.paceNow(), pause)
 	}
 	g.advance()
@@ -205,7 +205,7 @@
 	defer g.mu.Unlock()
 	g.firstEvent += (took - g.firstEvent) / firstEventWeight
 	if g.group != nil {
-		g.group.Began(g.clock.Boot())
+		g.group.FirstEvent(g.clock.Boot())
 		g.advance()
 	}
 }
@@ -291,8 +291,8 @@
 		g.timer = nil
 	}
 	at, ok := g.queue.WakeAt()
-	if g.closed() && g.queue.Load().Queued > 0 && (!ok || g.group.ProbeAt() < at) {
-		at, ok = g.group.ProbeAt(), true
+	if g.closed() && g.queue.Load().Queued > 0 && (!ok || g.group.NextProbeAt() < at) {
+		at, ok = g.group.NextProbeAt(), true
 	}
 	if ok {
 		g.timer = time.AfterFunc(max(at-g.clock.Boot(), 1).Duration(), g.run)
--- a/internal/serve/burdockdirect/moving.go
+++ b/internal/serve/burdockdirect/moving.go
@@ -79,5 +79,5 @@
 func (p *pool) takeRetry(now burdockclock.Millis) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.budget.Take(now)
+	return p.budget.TryAcquire(now)
 }
--- a/internal/serve/burdockdirect/offers.go
+++ b/internal/serve/burdockdirect/offers.go
@@ -209,10 +209,10 @@
 	case answered:
 		o.pool.succeeded(now, now-began)
 		if o.req.route.Stream {
-			o.pool.observe(now, target.ID, burdockeject.Began{})
+			o.pool.observe(now, target.ID, burdockeject.ResponseStarted{})
 			return
 		}
-		o.pool.observe(now, target.ID, burdockeject.Answered{Took: now - began, Work: 1})
+		o.pool.observe(now, target.ID, burdockeject.Completed{Duration: now - began, Cost: 1})
 	case notRun:
 		if res.replaced {
 			o.pool.replaced(now, target.ID)
@@ -223,7 +223,7 @@
 		}
 	case unreached:
 		o.pool.doubt(now, target.ID)
-		o.pool.observe(now, target.ID, burdockeject.Unreached{})
+		o.pool.observe(now, target.ID, burdockeject.ConnectFailed{})
 	case unknown:
 		if res.failure == nil {
 			o.pool.doubt(now, target.ID)
@@ -255,10 +255,10 @@
 			return false
 		}
 		o.sent++
-		return o.again(ctx, burdockretry.NotRun{})
+		return o.again(ctx, burdockretry.Refused{})
 	case unreached:
 		o.unreached++
-		return o.again(ctx, burdockretry.Unreached{})
+		return o.again(ctx, burdockretry.ConnectFailed{})
 	case unknown:
 		o.sent++
 		o.mayHaveRun = &res
@@ -312,7 +312,7 @@
 		o.entry.meters.retries.Inc()
 		return ctx.Err() != nil
 	}
-	_, reached := outcome.(burdockretry.Unreached)
+	_, reached := outcome.(burdockretry.ConnectFailed)
 	d := o.pool.decide(o.entry.now(), burdockretry.Attempt{
 		Outcome: outcome, Offers: o.sent + o.unreached,
 		Idempotent: o.req.route.Repeatable(), Deadline: o.req.deadline,
@@ -323,11 +323,11 @@
 		return true
 	}
 	if o.sent >= o.req.route.Attempts || reached && o.unreached >= mostUnreached {
-		o.giveUp(burdockretry.GiveUp{Reason: burdockretry.ReasonOffers, RetryAfter: retrySpread})
+		o.giveUp(burdockretry.GiveUp{Reason: burdockretry.ReasonMaxOffers, RetryAfter: retrySpread})
 		return true
 	}
 	o.entry.meters.retries.Inc()
-	if !pause(ctx, retry.After) {
+	if !pause(ctx, retry.Delay) {
 		return true
 	}
 	if o.entry.crashes.quarantined(o.req) > 0 {
--- a/internal/serve/burdockdirect/opening.go
+++ b/internal/serve/burdockdirect/opening.go
@@ -29,15 +29,15 @@
 // newGroup returns the group of engines whose callers accept pauses of longest.
 func newGroup(longest burdockclock.Millis) *group {
 	return &group{
-		View:  burdocklockstep.New(burdocklockstep.Config{Stand: standPauses * longest}),
-		state: burdocklockstep.Moving, opened: make(chan struct{}),
+		View:  burdocklockstep.New(burdocklockstep.Config{StallTimeout: standPauses * longest}),
+		state: burdocklockstep.Advancing, opened: make(chan struct{}),
 	}
 }
 
 // look takes up the group's state. The lock must be held.
 func (g *gate) look(now burdockclock.Millis) burdocklockstep.State {
 	if g.group == nil {
-		return burdocklockstep.Moving
+		return burdocklockstep.Advancing
 	}
 	was, is := g.group.state, g.group.State(now)
 	if was == is {
@@ -45,7 +45,7 @@
 	}
 	g.group.state = is
 	g.log.Info("group state", zap.String("from", string(was)), zap.String("to", string(is)))
-	if is == burdocklockstep.Moving {
+	if is == burdocklockstep.Advancing {
 		close(g.group.opened)
 		g.group.opened = make(chan struct{})
 	}
@@ -57,11 +57,11 @@
 // closed group, to find out whether it has opened. The lock must be held.
 func (g *gate) bound(now burdockclock.Millis, running int, wanted bool) int {
 	state := g.look(now)
-	g.queue.Pause(now, state != burdocklockstep.Moving)
+	g.queue.Pause(now, state != burdocklockstep.Advancing)
 	switch {
-	case state == burdocklockstep.Moving:
+	case state == burdocklockstep.Advancing:
 		return g.pace.Streams(g.paceNow(), running)
-	case state == burdocklockstep.Closed && wanted && g.group.Probe(now):
+	case state == burdocklockstep.Closed && wanted && g.group.TryProbe(now):
 		g.queue.AllowProbe(now)
 		return max(g.slots, running+1)
 	}
@@ -73,7 +73,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.group != nil {
-		g.group.Hint(g.clock.Boot())
+		g.group.ProbeNow(g.clock.Boot())
 		g.advance()
 	}
 }
@@ -94,7 +94,7 @@
 	if g.group == nil {
 		return now
 	}
-	return g.group.Moved(now)
+	return g.group.RunningClock(now)
 }
 
 // accepted tells that an engine has begun to answer.
@@ -102,7 +102,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.group != nil {
-		g.group.Accepted(g.clock.Boot())
+		g.group.EngineAccepted(g.clock.Boot())
 		g.advance()
 	}
 }
@@ -112,7 +112,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.group != nil {
-		g.group.Offered(g.clock.Boot())
+		g.group.StreamOffered(g.clock.Boot())
 	}
 }
 
@@ -121,7 +121,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.group != nil {
-		g.group.Ended(g.clock.Boot(), begun)
+		g.group.StreamEnded(g.clock.Boot(), begun)
 	}
 }
 
@@ -134,7 +134,7 @@
 		return false
 	}
 	now := g.clock.Boot()
-	g.group.Refused(now, u)
+	g.group.EngineRefused(now, u)
 	g.look(now)
 	return g.group.state == burdocklockstep.Closed
 }
@@ -160,7 +160,7 @@
 func (g *gate) probe() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.group != nil && g.queue.Load().Queued == 0 && g.group.Probe(g.clock.Boot())
+	return g.group != nil && g.queue.Load().Queued == 0 && g.group.TryProbe(g.clock.Boot())
 }
 
 // awaitOpening waits while the group is closed and it isn't this request's turn to
--- a/internal/serve/burdockdirect/opening_test.go
+++ b/internal/serve/burdockdirect/opening_test.go
@@ -128,7 +128,7 @@
 	f.sendMany(t, 12, func() {
 		time.Sleep(30 * time.Millisecond)
 		g.stands.Store(true)
-		await(t, "the group is seen to stand", func() bool { return state() == burdocklockstep.Standing })
+		await(t, "the group is seen to stand", func() bool { return state() == burdocklockstep.Stalled })
 		before := g.started.Load()
 		replies := make(chan reply)
 		go func() { replies <- f.send(t, context.Background(), "/stream/", nil) }()
--- a/internal/serve/burdockdirect/pool.go
+++ b/internal/serve/burdockdirect/pool.go
@@ -50,7 +50,7 @@
 	bySpeed map[burdockid.Upstream]float64
 	moves   moves
 	// doubts holds which upstreams of a plain service failed a request of late.
-	doubts *burdockdoubt.Ledger
+	doubts *burdockdoubt.Tracker
 	// usualTook is how long an answer usually takes from its offer to its end.
 	usualTook burdockclock.Millis
 	// heard is when each upstream with offers in flight was last heard from.
@@ -79,7 +79,7 @@
 		heard: map[burdockid.Upstream]heard{}, firstEvent: startFirstEvent,
 		placer:  burdockplace.New(burdockplace.Config{}, derive(random)),
 		tracker: burdockeject.New(burdockeject.Config{}, derive(random)),
-		budget:  burdockretry.New(burdockretry.Config{Fraction: retryFraction, Floor: retryFloor}, derive(random)),
+		budget:  burdockretry.New(burdockretry.Config{RetryRatio: retryFraction, MinRetries: retryFloor}, derive(random)),
 	}
 	snap := e.deps.Site.Now()
 	p.engine = engineOf(snap, service)
@@ -235,12 +235,12 @@
 	// Only what may be sent again finds out about an upstream that has failed: a
 	// probe that is due and not made would be missed for long.
 	if req.route.Repeatable() {
-		if probe, due := p.tracker.Probe(now); due && !refused[probe] && p.isMember(probe) {
+		if probe, due := p.tracker.NextProbe(now); due && !refused[probe] && p.isMember(probe) {
 			choice.Upstream, choice.Reason, ok = probe, "probe", true
 		}
 	}
 	if !ok {
-		choice.Upstream, ok = p.tracker.LastResort(skip)
+		choice.Upstream, ok = p.tracker.Fallback(skip)
 		choice.Reason = "lastResort"
 	}
 	if !ok || !p.isMember(choice.Upstream) {
@@ -310,7 +310,7 @@
 func (p *pool) replaced(now burdockclock.Millis, u burdockid.Upstream) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if _, changed := p.tracker.Leave(now, u); changed {
+	if _, changed := p.tracker.MarkLeaving(now, u); changed {
 		p.weigh(u)
 		p.entry.deps.Log.Info("upstream replaced", zap.String("upstream", string(u)), zap.String("service", string(p.service)))
 	}
@@ -325,14 +325,14 @@
 func (p *pool) noUpstream(now burdockclock.Millis) burdockretry.GiveUp {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.budget.NoUpstream(now)
+	return p.budget.GiveUpNoUpstream(now)
 }
 
 // groupClosed returns the decision for a request whose engines' group stayed closed.
 func (p *pool) groupClosed(now burdockclock.Millis) burdockretry.GiveUp {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.budget.GroupClosed(now)
+	return p.budget.GiveUpGroupClosed(now)
 }
 
 func (p *pool) succeeded(now, took burdockclock.Millis) {
@@ -342,7 +342,7 @@
 		p.usualTook = took
 	}
 	p.usualTook += (took - p.usualTook) / usualWeight
-	p.budget.Succeeded(now)
+	p.budget.RecordSuccess(now)
 }
 
 // progress notes an event of a stream.
--- a/internal/serve/burdockdirect/weights.go
+++ b/internal/serve/burdockdirect/weights.go
@@ -63,18 +63,18 @@
 	for name, u := range members {
 		speed, slow := speeds[u.Address]
 		if !slow {
-			speed = burdockspeed.Usual
+			speed = burdockspeed.Baseline
 		}
 		names = append(names, name)
 		known = append(known, speed)
 	}
-	work := burdockspeed.Work{
-		FixedMillis: engine.StepMillis, SequenceMillis: sequenceMillis(engine), ExpertShare: engine.ExpertShare,
-		Requests: max(requests, leastRequests),
+	work := burdockspeed.StepCost{
+		BaseStepMillis: engine.StepMillis, StepMillisPerRequest: sequenceMillis(engine), ExpertShare: engine.ExpertShare,
+		TypicalRequests: max(requests, leastRequests),
 	}
 	weights := map[burdockid.Upstream]float64{}
-	for i, speed := range burdockspeed.Relative(known) {
-		if burdockspeed.Slow(speed) {
+	for i, speed := range burdockspeed.RelativeToMedian(known) {
+		if burdockspeed.IsSlow(speed) {
 			weights[names[i]] = work.Weight(speed)
 		}
 	}
--- a/internal/serve/burdockentry/attempt.go
+++ b/internal/serve/burdockentry/attempt.go
@@ -224,7 +224,7 @@
 	if a.offset == 0 {
 		a.offers.ending.begun = true
 		a.offers.ending.firstByte = a.offers.now() - a.offers.req.arrived
-		a.offers.pool.observe(a.offers.now(), a.target.Name, burdockeject.Began{})
+		a.offers.pool.observe(a.offers.now(), a.target.Name, burdockeject.ResponseStarted{})
 	}
 	if err := a.offers.caller.write(chunk.GetData()); err != nil {
 		return callerGone{}
--- a/internal/serve/burdockentry/health.go
+++ b/internal/serve/burdockentry/health.go
@@ -61,9 +61,9 @@
 	switch {
 	case c.Cause == burdockeject.CauseLeaving:
 		h.fire(now, c.Upstream, burdockcharts.UpstreamEventLeave, reason)
-	case c.Cause != burdockeject.CauseRecovers && c.Level == burdockeject.LevelOut:
+	case c.Cause != burdockeject.CauseRecovered && c.Level == burdockeject.LevelEjected:
 		h.fire(now, c.Upstream, burdockcharts.UpstreamEventEject, reason)
-	case c.Cause != burdockeject.CauseRecovers:
+	case c.Cause != burdockeject.CauseRecovered:
 		h.fire(now, c.Upstream, burdockcharts.UpstreamEventDoubt, reason)
 	case h.state(c.Upstream) == burdockcharts.UpstreamLeaving:
 		h.fire(now, c.Upstream, burdockcharts.UpstreamEventVanish, "another incarnation answers")
--- a/internal/serve/burdockentry/offers.go
+++ b/internal/serve/burdockentry/offers.go
@@ -136,14 +136,14 @@
 	switch res := res.(type) {
 	case answered:
 		o.pool.succeeded(o.now())
-		o.pool.observe(o.now(), target.Name, burdockeject.Answered{Took: res.ran, Work: res.served})
+		o.pool.observe(o.now(), target.Name, burdockeject.Completed{Duration: res.ran, Cost: res.served})
 	case notRun:
 		o.entry.meters.refused(res.refusal.GetReason())
 		if res.refusal.GetReason() == burdockwire.RefusedReason_REFUSED_REASON_UPSTREAM_DOWN {
-			o.pool.observe(o.now(), target.Name, burdockeject.Unreached{})
+			o.pool.observe(o.now(), target.Name, burdockeject.ConnectFailed{})
 		}
 	case unreached:
-		o.pool.observe(o.now(), target.Name, burdockeject.Unreached{})
+		o.pool.observe(o.now(), target.Name, burdockeject.ConnectFailed{})
 	case unknown:
 		if !res.deadline && !res.byKey {
 			o.pool.observe(o.now(), target.Name, burdockeject.Failed{})
@@ -174,7 +174,7 @@
 		if res.refusal.GetReason() == burdockwire.RefusedReason_REFUSED_REASON_BUSY {
 			o.overBound++
 			o.overBoundAt[target.Name] = true
-			return o.again(ctx, burdockretry.OverBound{}, res)
+			return o.again(ctx, burdockretry.OverLoadBound{}, res)
 		}
 		if o.req.key != "" {
 			return o.againAtHome(ctx, res)
@@ -186,7 +186,7 @@
 			return !o.waitForHome(ctx)
 		}
 		o.refusedBy[target.Name] = true
-		return o.again(ctx, burdockretry.Unreached{}, res)
+		return o.again(ctx, burdockretry.ConnectFailed{}, res)
 	case unknown:
 		o.mayHaveRun = &res
 		o.refusedBy[target.Name] = true
@@ -200,22 +200,22 @@
 	if refusal.GetReason() == burdockwire.RefusedReason_REFUSED_REASON_LEAVING {
 		return burdockretry.Leaving{}
 	}
-	return burdockretry.NotRun{RetryAfter: burdockclock.Millis(refusal.GetRetryAfterMillis())}
+	return burdockretry.Refused{RetryAfter: burdockclock.Millis(refusal.GetRetryAfterMillis())}
 }
 
 // again asks the budget whether the request may be offered again.
 func (o *offers) again(ctx context.Context, outcome burdockretry.Outcome, res result) bool {
 	d := o.pool.decide(o.now(), burdockretry.Attempt{
-		Outcome:    outcome,
-		Offers:     o.made,
-		OverBound:  o.overBound,
-		Idempotent: o.req.idempotent,
-		Deadline:   o.req.deadline,
+		Outcome:       outcome,
+		Offers:        o.made,
+		OverLoadBound: o.overBound,
+		Idempotent:    o.req.idempotent,
+		Deadline:      o.req.deadline,
 	})
 	switch d := d.(type) {
 	case burdockretry.Retry:
 		o.entry.meters.retries.Inc()
-		return !o.pause(ctx, d.After)
+		return !o.pause(ctx, d.Delay)
 	case burdockretry.GiveUp:
 		o.giveUp(d, res)
 		return true
--- a/internal/serve/burdockentry/pool.go
+++ b/internal/serve/burdockentry/pool.go
@@ -100,7 +100,7 @@
 	p.digest = fleet.Digest
 	if retry := fleet.Profile(p.service).Retry; retry != p.retry {
 		p.retry = retry
-		p.budget = burdockretry.New(burdockretry.Config{Fraction: retry.BudgetRatio, Offers: retry.MaxAttempts}, derive(p.random))
+		p.budget = burdockretry.New(burdockretry.Config{RetryRatio: retry.BudgetRatio, MaxOffers: retry.MaxAttempts}, derive(p.random))
 	}
 	p.members = map[burdockid.Upstream]burdockmember.Upstream{}
 	names := []burdockid.Upstream{}
@@ -200,11 +200,11 @@
 	switch {
 	case leaving && !left:
 		p.leaving[u] = inc
-		c, changed := p.tracker.Leave(now, u)
+		c, changed := p.tracker.MarkLeaving(now, u)
 		p.change(now, c, changed)
 	case !leaving && left && last != inc:
 		delete(p.leaving, u)
-		c, changed := p.tracker.Return(now, u)
+		c, changed := p.tracker.Reset(now, u)
 		p.change(now, c, changed)
 	}
 }
@@ -223,7 +223,7 @@
 	}
 	if _, member := p.members[u]; member {
 		p.leaving[u] = p.incarnations[u]
-		c, changed := p.tracker.Leave(now, u)
+		c, changed := p.tracker.MarkLeaving(now, u)
 		p.change(now, c, changed)
 	}
 }
@@ -248,7 +248,7 @@
 	defer p.mu.Unlock()
 	var due []burdockmember.Upstream
 	for {
-		u, ok := p.tracker.Probe(now)
+		u, ok := p.tracker.NextProbe(now)
 		if !ok {
 			break
 		}
@@ -274,7 +274,7 @@
 func (p *pool) succeeded(now burdockclock.Millis) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.budget.Succeeded(now)
+	p.budget.RecordSuccess(now)
 }
 
 func (p *pool) decide(now burdockclock.Millis, a burdockretry.Attempt) burdockretry.Decision {
@@ -286,5 +286,5 @@
 func (p *pool) noUpstream(now burdockclock.Millis) burdockretry.GiveUp {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.budget.NoUpstream(now)
+	return p.budget.GiveUpNoUpstream(now)
 }
--- a/internal/serve/burdockentry/probe.go
+++ b/internal/serve/burdockentry/probe.go
@@ -31,13 +31,13 @@
 	res, err := p.entry.agent(p.target.Agent).Describe(ctx, connect.NewRequest(&burdockwire.DescribeRequest{}))
 	now := p.entry.deps.Clock.Boot()
 	if err != nil || res.Msg.GetUpstream() != string(p.target.Name) || !res.Msg.GetUpstreamReachable() {
-		p.pool.observe(now, p.target.Name, burdockeject.Unreached{})
+		p.pool.observe(now, p.target.Name, burdockeject.ConnectFailed{})
 		p.pool.probeFailed(now, p.target.Name)
 		return
 	}
 	p.pool.report(now, p.target.Name, res.Msg.GetLoad())
 	if !res.Msg.GetLoad().GetLeaving() {
-		p.pool.observe(now, p.target.Name, burdockeject.Reached{})
+		p.pool.observe(now, p.target.Name, burdockeject.ProbeSucceeded{})
 	}
 }
 
--- a/internal/serve/burdockhosted/announce.go
+++ b/internal/serve/burdockhosted/announce.go
@@ -55,7 +55,7 @@
 
 func newAnnouncer(store burdockkv.Store, replica string, own *ownSpeed, log *zap.Logger) *announcer {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &announcer{store: store, replica: replica, own: own, log: log, ctx: ctx, cancel: cancel, told: burdockspeed.Usual}
+	return &announcer{store: store, replica: replica, own: own, log: log, ctx: ctx, cancel: cancel, told: burdockspeed.Baseline}
 }
 
 func (a *announcer) start() {
@@ -113,9 +113,9 @@
 func (a *announcer) tell() (burdockclock.Millis, error) {
 	speed := a.own.now()
 	switch {
-	case !burdockspeed.Slow(speed):
+	case !burdockspeed.IsSlow(speed):
 		return 0, a.takeBack()
-	case a.lease != 0 && !burdockspeed.Notable(a.told, speed):
+	case a.lease != 0 && !burdockspeed.SignificantChange(a.told, speed):
 		return speedRenew, a.renew()
 	}
 	return speedRenew, a.write(speed)
@@ -128,7 +128,7 @@
 	if err := a.store.Revoke(a.ctx, a.lease); err != nil && !errorx.IsOfType(err, burdockkv.ErrNotFound) {
 		return err
 	}
-	a.lease, a.told = 0, burdockspeed.Usual
+	a.lease, a.told = 0, burdockspeed.Baseline
 	return nil
 }
 
--- a/internal/serve/burdockhosted/ownspeed.go
+++ b/internal/serve/burdockhosted/ownspeed.go
@@ -36,11 +36,11 @@
 	}
 	s.wrong = !known
 	before := s.speed
-	if before != 0 && !burdockspeed.Notable(before, speed) {
+	if before != 0 && !burdockspeed.SignificantChange(before, speed) {
 		return
 	}
 	s.speed = speed
-	if before == 0 && !burdockspeed.Slow(speed) {
+	if before == 0 && !burdockspeed.IsSlow(speed) {
 		return
 	}
 	s.log.Info("the engine's speed has changed", zap.Stringer("speed", speed), zap.Stringer("before", before))
--- a/internal/serve/burdockhosted/server.go
+++ b/internal/serve/burdockhosted/server.go
@@ -27,7 +27,7 @@
 
 // adminHandler serves operators: the metrics, and at an entry the requests that ran
 // at upstreams which crashed.
-func adminHandler(set *metrics.Set, suspects func() []burdocksuspect.Suspect) http.Handler {
+func adminHandler(set *metrics.Set, suspects func() []burdocksuspect.CrashingRequest) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) { set.WritePrometheus(w) })
 	if suspects == nil {
--- a/internal/serve/burdockhosted/speed_test.go
+++ b/internal/serve/burdockhosted/speed_test.go
@@ -24,7 +24,7 @@
 		for range 3 {
 			own.saw(slowdown(times))
 		}
-		if got, want := own.now(), burdockspeed.Usual; got != want {
+		if got, want := own.now(), burdockspeed.Baseline; got != want {
 			t.Errorf("slowdown %g: got speed %v, want %v", times, got, want)
 		}
 		if got, want := logs.Len(), 1; got != want {
--- a/internal/serve/burdockrank/size_test.go
+++ b/internal/serve/burdockrank/size_test.go
@@ -20,7 +20,7 @@
 	popularity := burdockexpert.NewPopularity(layers, experts, popularityHalfLife)
 	group := make([]burdockexpert.Rank, ranks)
 	for r := range group {
-		group[r] = burdockexpert.Rank{Slots: slots, Speed: float64(burdockspeed.Usual)}
+		group[r] = burdockexpert.Rank{Slots: slots, Speed: float64(burdockspeed.Baseline)}
 	}
 	content, err := burdockexpert.Solve(popularity.Snapshot(), group).Encode()
 	if err != nil {
--- a/internal/serve/burdockrank/speeds.go
+++ b/internal/serve/burdockrank/speeds.go
@@ -17,7 +17,7 @@
 func newSpeeds(ranks int) speeds {
 	s := make(speeds, ranks)
 	for r := range s {
-		s[r] = burdockspeed.Usual
+		s[r] = burdockspeed.Baseline
 	}
 	return s
 }
@@ -29,7 +29,7 @@
 		return false
 	}
 	speed, _ := burdockspeed.FromSlowdown(1 / float64(told))
-	if !burdockspeed.Notable(s[rank], speed) {
+	if !burdockspeed.SignificantChange(s[rank], speed) {
 		return false
 	}
 	s[rank] = speed
