--- a/internal/decide/burdockledger/fuzz_test.go
+++ b/internal/decide/burdockledger/fuzz_test.go
@@ -11,7 +11,7 @@
 // of a time-ordered UUID, never negative, and nothing else has one.
 func FuzzBirth(f *testing.F) {
 	f.Fuzz(func(t *testing.T, key string) {
-		at, ok := Birth(burdockid.IdempotencyKey(key))
+		at, ok := CreationTime(burdockid.IdempotencyKey(key))
 		if at < 0 || (!ok && at != 0) {
 			t.Errorf("Birth(%q) = %d, %v; want none below 0", key, at, ok)
 		}
--- a/internal/decide/burdockledger/key.go
+++ b/internal/decide/burdockledger/key.go
@@ -15,10 +15,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Slots is how many parts the keys of a service are divided into. Each part
+// SlotCount is how many parts the keys of a service are divided into. Each part
 // has one home. Services with more replicas than that have replicas that are
 // the home of none.
-const Slots = 256
+const SlotCount = 256
 
 // Slot numbers one part of a service's keys, from 0.
 type Slot int
@@ -34,7 +34,7 @@
 }
 
 // SlotOf returns the part of the service's keys that k belongs to.
-func SlotOf(k Key) Slot { return Slot(k[0] % Slots) }
+func SlotOf(k Key) Slot { return Slot(k[0] % SlotCount) }
 
 const (
 	uuidLength      = 36
@@ -46,11 +46,11 @@
 // uuidGroups are the lengths of the groups between a UUID's dashes.
 var uuidGroups = [...]int{8, 4, 4, 4, 12}
 
-// Birth returns when a key was made, on the wall clock of whoever made it. A
+// CreationTime returns when a key was made, on the wall clock of whoever made it. A
 // time-ordered UUID (version 7) says so; other keys do not, also when they
 // look much like one: a time read out of a customer's own numbers could make
 // an old key look new, and run it again.
-func Birth(key burdockid.IdempotencyKey) (burdockclock.Millis, bool) {
+func CreationTime(key burdockid.IdempotencyKey) (burdockclock.Millis, bool) {
 	octets, ok := uuidOctets(string(key))
 	if !ok || key[uuidVersionAt] != uuidTimeOrdered {
 		return 0, false
--- a/internal/decide/burdockledger/ledger.go
+++ b/internal/decide/burdockledger/ledger.go
@@ -7,29 +7,29 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// Fate is what became of the request that a key came with first.
-type Fate uint8
+// Outcome is what became of the request that a key came with first.
+type Outcome uint8
 
 // Fates.
 const (
-	// FateRunning: it waits or runs.
-	FateRunning Fate = iota
-	// FateAnswered: its answer came whole.
-	FateAnswered
-	// FateUnknown: it was handed to the upstream, and no whole answer came.
-	FateUnknown
+	// OutcomeRunning: it waits or runs.
+	OutcomeRunning Outcome = iota
+	// OutcomeAnswered: its answer came whole.
+	OutcomeAnswered
+	// OutcomeUnknown: it was handed to the upstream, and no whole answer came.
+	OutcomeUnknown
 )
 
 // Fingerprint tells whether two requests with one key are the same request.
 type Fingerprint uint64
 
-// Ask is a request with a key, as it comes to the home of the key.
-type Ask struct {
+// KeyedRequest is a request with a key, as it comes to the home of the key.
+type KeyedRequest struct {
 	Key         Key
 	Request     burdockid.Request
 	Fingerprint Fingerprint
-	// Birth is when the key was made, on the wall clock; 0 when it doesn't say.
-	Birth burdockclock.Millis
+	// CreatedAt is when the key was made, on the wall clock; 0 when it doesn't say.
+	CreatedAt burdockclock.Millis
 }
 
 // Decision is the answer to an Ask: Run, Attach, MayHaveRun or Reused.
@@ -41,7 +41,7 @@
 // Attach means that the key's request is known: the caller gets its answer.
 type Attach struct {
 	Request burdockid.Request
-	Fate    Fate
+	Outcome Outcome
 }
 
 // MayHaveRun means that the request may have run before this home could
@@ -61,11 +61,11 @@
 	// home that lacks the memory of the one before it lets a key without a time
 	// of birth run only when this much time has passed.
 	RepeatWindow = 10 * burdockclock.Minute
-	// Skew covers how far the clocks of those who make keys may be from ours.
-	Skew = burdockclock.Minute
-	// RememberFor is how long a key is remembered. A repeat after more than
+	// MaxClockSkew covers how far the clocks of those who make keys may be from ours.
+	MaxClockSkew = burdockclock.Minute
+	// Retention is how long a key is remembered. A repeat after more than
 	// that runs anew, unless the key says that it is older.
-	RememberFor = 24 * burdockclock.Hour
+	Retention = 24 * burdockclock.Hour
 	// MaxKeys bounds the memory: 126 bytes each, 25 MB (burdock measure
 	// capacity). At the design's peak rate a replica sees 141,000 requests a
 	// day, with a key or without.
@@ -76,7 +76,7 @@
 type record struct {
 	request     burdockid.Request
 	fingerprint Fingerprint
-	fate        Fate
+	fate        Outcome
 }
 
 // arrival is when a key came, oldest first.
@@ -99,13 +99,13 @@
 	return &Ledger{records: map[Key]record{}, since: map[Slot]burdockclock.Millis{}}
 }
 
-// Hold takes a slot. since is the instant on the wall clock from which on
+// AcquireSlot takes a slot. since is the instant on the wall clock from which on
 // every run of the slot's keys is in this ledger; 0 when the slot never had
 // another home.
-func (l *Ledger) Hold(slot Slot, since burdockclock.Millis) { l.since[slot] = since }
+func (l *Ledger) AcquireSlot(slot Slot, since burdockclock.Millis) { l.since[slot] = since }
 
-// Drop gives a slot up, with what is remembered of its keys.
-func (l *Ledger) Drop(slot Slot) {
+// ReleaseSlot gives a slot up, with what is remembered of its keys.
+func (l *Ledger) ReleaseSlot(slot Slot) {
 	delete(l.since, slot)
 	l.arrivals = slices.DeleteFunc(l.arrivals, func(a arrival) bool {
 		if SlotOf(a.key) != slot {
@@ -116,28 +116,28 @@
 	})
 }
 
-// Holds reports whether the ledger holds a slot.
-func (l *Ledger) Holds(slot Slot) bool {
+// OwnsSlot reports whether the ledger holds a slot.
+func (l *Ledger) OwnsSlot(slot Slot) bool {
 	_, ok := l.since[slot]
 	return ok
 }
 
-// Held returns how many slots the ledger holds.
-func (l *Ledger) Held() int { return len(l.since) }
+// OwnedSlots returns how many slots the ledger holds.
+func (l *Ledger) OwnedSlots() int { return len(l.since) }
 
 // Decide says whether a request with a key may run. The ledger must hold the
-// key's slot. After Run the key counts as running until NotRun or End.
+// key's slot. After Run the key counts as running until RecordNotRun or RecordOutcome.
 //
 // Load: callers repeat requests whose answer they lost, through any entry and
 // while processes fail. Harm prevented: a letter sent twice, a lookup answered
 // twice in two ways. A key that may have run where this ledger can't see is
 // not run again; the caller is told that nobody can tell.
-func (l *Ledger) Decide(wall burdockclock.Millis, a Ask) Decision {
+func (l *Ledger) Decide(wall burdockclock.Millis, a KeyedRequest) Decision {
 	if known, ok := l.records[a.Key]; ok {
 		if known.fingerprint != a.Fingerprint {
 			return Reused{}
 		}
-		return Attach{Request: known.request, Fate: known.fate}
+		return Attach{Request: known.request, Outcome: known.fate}
 	}
 	if l.mayHaveRun(wall, a) {
 		return MayHaveRun{}
@@ -147,22 +147,22 @@
 	return Run{}
 }
 
-func (l *Ledger) mayHaveRun(wall burdockclock.Millis, a Ask) bool {
+func (l *Ledger) mayHaveRun(wall burdockclock.Millis, a KeyedRequest) bool {
 	since := max(l.since[SlotOf(a.Key)], l.horizon)
 	if since == 0 {
 		return false
 	}
-	if a.Birth > 0 {
-		return a.Birth <= since+Skew
+	if a.CreatedAt > 0 {
+		return a.CreatedAt <= since+MaxClockSkew
 	}
 	// Without a time of birth: the horizon is a day back, far beyond any repeat;
 	// the time of a takeover is not.
-	return wall < l.since[SlotOf(a.Key)]+RepeatWindow+Skew
+	return wall < l.since[SlotOf(a.Key)]+RepeatWindow+MaxClockSkew
 }
 
-// NotRun tells that the request of a key was not handed to the upstream and
+// RecordNotRun tells that the request of a key was not handed to the upstream and
 // never will be: the key may run when it comes again.
-func (l *Ledger) NotRun(key Key, request burdockid.Request) {
+func (l *Ledger) RecordNotRun(key Key, request burdockid.Request) {
 	if known, ok := l.records[key]; ok && known.request == request {
 		delete(l.records, key)
 		l.removeArrival(key)
@@ -182,18 +182,18 @@
 	}
 }
 
-// End tells what became of a key's request.
-func (l *Ledger) End(key Key, request burdockid.Request, fate Fate) {
+// RecordOutcome tells what became of a key's request.
+func (l *Ledger) RecordOutcome(key Key, request burdockid.Request, fate Outcome) {
 	if known, ok := l.records[key]; ok && known.request == request {
 		known.fate = fate
 		l.records[key] = known
 	}
 }
 
-// Forget drops keys that are too old or too many.
-func (l *Ledger) Forget(wall burdockclock.Millis) {
+// Evict drops keys that are too old or too many.
+func (l *Ledger) Evict(wall burdockclock.Millis) {
 	n := 0
-	for n < len(l.arrivals) && (wall-l.arrivals[n].at > RememberFor || len(l.arrivals)-n > MaxKeys) {
+	for n < len(l.arrivals) && (wall-l.arrivals[n].at > Retention || len(l.arrivals)-n > MaxKeys) {
 		delete(l.records, l.arrivals[n].key)
 		l.horizon = l.arrivals[n].at
 		n++
--- a/internal/decide/burdockledger/ledger_test.go
+++ b/internal/decide/burdockledger/ledger_test.go
@@ -11,14 +11,14 @@
 
 const noon = 1_800_000_000_000 * burdockclock.Millis(1)
 
-func ask(key, request string, birth burdockclock.Millis) Ask {
-	return Ask{Key: KeyOf("acme", burdockid.IdempotencyKey(key)), Request: burdockid.Request(request), Fingerprint: 1, Birth: birth}
+func ask(key, request string, birth burdockclock.Millis) KeyedRequest {
+	return KeyedRequest{Key: KeyOf("acme", burdockid.IdempotencyKey(key)), Request: burdockid.Request(request), Fingerprint: 1, CreatedAt: birth}
 }
 
 func holding(since burdockclock.Millis) *Ledger {
 	l := New()
-	for slot := range Slot(Slots) {
-		l.Hold(slot, since)
+	for slot := range Slot(SlotCount) {
+		l.AcquireSlot(slot, since)
 	}
 	return l
 }
@@ -42,7 +42,7 @@
 		{"", 0, false},
 	}
 	for _, c := range cases {
-		if got, ok := Birth(c.key); got != c.want || ok != c.ok {
+		if got, ok := CreationTime(c.key); got != c.want || ok != c.ok {
 			t.Errorf("Birth(%q) = %d, %v; want %d, %v", c.key, got, ok, c.want, c.ok)
 		}
 	}
@@ -54,8 +54,8 @@
 	if got := l.Decide(noon, ask("k", "first", 0)); got != (Run{}) {
 		t.Fatalf("first: got %#v, want Run", got)
 	}
-	l.End(ask("k", "", 0).Key, "first", FateAnswered)
-	want := Attach{Request: "first", Fate: FateAnswered}
+	l.RecordOutcome(ask("k", "", 0).Key, "first", OutcomeAnswered)
+	want := Attach{Request: "first", Outcome: OutcomeAnswered}
 	if got := l.Decide(noon+1, ask("k", "second", 0)); got != want {
 		t.Errorf("repeat: got %#v, want %#v", got, want)
 	}
@@ -69,7 +69,7 @@
 func TestNotRunMayComeAgain(t *testing.T) {
 	l := holding(0)
 	l.Decide(noon, ask("k", "first", 0))
-	l.NotRun(ask("k", "", 0).Key, "first")
+	l.RecordNotRun(ask("k", "", 0).Key, "first")
 	if got := l.Decide(noon+1, ask("k", "second", 0)); got != (Run{}) {
 		t.Errorf("after not run: got %#v, want Run", got)
 	}
@@ -87,10 +87,10 @@
 		want  Decision
 	}{
 		{"made before", noon + 5*burdockclock.Second, noon - 1, MayHaveRun{}},
-		{"made within the skew of clocks", noon + 2*burdockclock.Minute, noon + Skew, MayHaveRun{}},
-		{"made after", noon + 2*burdockclock.Minute, noon + Skew + 1, Run{}},
+		{"made within the skew of clocks", noon + 2*burdockclock.Minute, noon + MaxClockSkew, MayHaveRun{}},
+		{"made after", noon + 2*burdockclock.Minute, noon + MaxClockSkew + 1, Run{}},
 		{"undated, within the repeat window", noon + RepeatWindow, 0, MayHaveRun{}},
-		{"undated, after it", noon + RepeatWindow + Skew, 0, Run{}},
+		{"undated, after it", noon + RepeatWindow + MaxClockSkew, 0, Run{}},
 	}
 	for _, c := range cases {
 		if got := l.Decide(c.wall, ask(c.name, c.name, c.birth)); got != c.want {
@@ -105,12 +105,12 @@
 	a, b := holding(0), New()
 	a.Decide(noon, ask("k", "first", 0))
 	slot := SlotOf(ask("k", "", 0).Key)
-	b.Take(slot, a.Since(slot), a.Lines(slot))
-	a.Drop(slot)
-	if got, want := b.Decide(noon+1, ask("k", "second", 0)), (Attach{Request: "first", Fate: FateRunning}); got != want {
+	b.ImportSlot(slot, a.CompleteSince(slot), a.ExportSlot(slot))
+	a.ReleaseSlot(slot)
+	if got, want := b.Decide(noon+1, ask("k", "second", 0)), (Attach{Request: "first", Outcome: OutcomeRunning}); got != want {
 		t.Errorf("repeat at the next home: got %#v, want %#v", got, want)
 	}
-	if got, want := a.Holds(slot), false; got != want {
+	if got, want := a.OwnsSlot(slot), false; got != want {
 		t.Errorf("the old home holds the slot: got %v, want %v", got, want)
 	}
 }
@@ -118,8 +118,8 @@
 func TestForgetKeepsTheOldFromRunning(t *testing.T) {
 	l := holding(0)
 	l.Decide(noon, ask("k", "first", noon))
-	later := noon + RememberFor + 1
-	l.Forget(later)
+	later := noon + Retention + 1
+	l.Evict(later)
 	if got, want := l.Len(), 0; got != want {
 		t.Errorf("keys remembered: got %d, want %d", got, want)
 	}
@@ -133,13 +133,13 @@
 func TestForgetCountsFromTheRun(t *testing.T) {
 	l := holding(0)
 	l.Decide(noon, ask("k", "refused", 0))
-	l.NotRun(ask("k", "", 0).Key, "refused")
-	later := noon + RememberFor - burdockclock.Hour
+	l.RecordNotRun(ask("k", "", 0).Key, "refused")
+	later := noon + Retention - burdockclock.Hour
 	l.Decide(later, ask("k", "run", 0))
-	l.End(ask("k", "", 0).Key, "run", FateAnswered)
-	wall := noon + RememberFor + 1
-	l.Forget(wall)
-	want := Attach{Request: "run", Fate: FateAnswered}
+	l.RecordOutcome(ask("k", "", 0).Key, "run", OutcomeAnswered)
+	wall := noon + Retention + 1
+	l.Evict(wall)
+	want := Attach{Request: "run", Outcome: OutcomeAnswered}
 	if got := l.Decide(wall, ask("k", "repeat", 0)); got != want {
 		t.Errorf("repeat an hour after the run: got %#v, want %#v", got, want)
 	}
@@ -153,10 +153,10 @@
 	for i := range MaxKeys + 1 {
 		refused := ask(fmt.Sprint("refused ", i), "refused", 0)
 		l.Decide(noon+1, refused)
-		l.NotRun(refused.Key, "refused")
+		l.RecordNotRun(refused.Key, "refused")
 	}
-	l.Forget(noon + 2)
-	want := Attach{Request: "run", Fate: FateRunning}
+	l.Evict(noon + 2)
+	want := Attach{Request: "run", Outcome: OutcomeRunning}
 	if got := l.Decide(noon+2, ask("k", "repeat", 0)); got != want {
 		t.Errorf("repeat: got %#v, want %#v", got, want)
 	}
@@ -168,10 +168,10 @@
 	l := holding(0)
 	l.Decide(noon, ask("k", "run", 0))
 	slot := SlotOf(ask("k", "", 0).Key)
-	lines := l.Lines(slot)
-	l.Drop(slot)
-	l.Take(slot, 0, lines)
-	if got, want := len(l.Lines(slot)), 1; got != want {
+	lines := l.ExportSlot(slot)
+	l.ReleaseSlot(slot)
+	l.ImportSlot(slot, 0, lines)
+	if got, want := len(l.ExportSlot(slot)), 1; got != want {
 		t.Errorf("lines: got %d, want %d", got, want)
 	}
 }
@@ -191,8 +191,8 @@
 				home = holding(wall) // lost, and replaced by one without memory
 			case 1:
 				next := New()
-				for slot := range Slot(Slots) {
-					next.Take(slot, home.Since(slot), home.Lines(slot))
+				for slot := range Slot(SlotCount) {
+					next.ImportSlot(slot, home.CompleteSince(slot), home.ExportSlot(slot))
 				}
 				home = next
 			default:
@@ -243,18 +243,18 @@
 // is answered with "may have run" though its answer is known.
 func TestTakenKeysAreForgottenInTheirTurn(t *testing.T) {
 	l := New()
-	l.Hold(SlotOf(Key{1}), 0)
+	l.AcquireSlot(SlotOf(Key{1}), 0)
 	for i := range uint64(3) {
-		l.Decide(burdockclock.Millis(10*i+5), Ask{Key: Key{1, i}, Request: "own"})
+		l.Decide(burdockclock.Millis(10*i+5), KeyedRequest{Key: Key{1, i}, Request: "own"})
 	}
 	// Out of order, as a sender of another release may send them.
-	var lines []Line
+	var lines []HandoverRecord
 	for _, i := range []uint64{2, 0, 1} {
-		lines = append(lines, Line{Key: Key{2, i}, Request: "taken", At: burdockclock.Millis(10 * i)})
+		lines = append(lines, HandoverRecord{Key: Key{2, i}, Request: "taken", ReceivedAt: burdockclock.Millis(10 * i)})
 	}
-	l.Take(SlotOf(Key{2}), 0, lines)
+	l.ImportSlot(SlotOf(Key{2}), 0, lines)
 	for want := 5; want >= 0; want-- {
-		l.Forget(RememberFor + burdockclock.Millis(5*(5-want)+1))
+		l.Evict(Retention + burdockclock.Millis(5*(5-want)+1))
 		if got := l.Len(); got != want {
 			t.Fatalf("keys that are left: got %d, want %d", got, want)
 		}
--- a/internal/decide/burdockpace/pace.go
+++ b/internal/decide/burdockpace/pace.go
@@ -19,63 +19,63 @@
 type Engine struct {
 	// Slots is the number of requests that it runs at a time.
 	Slots int
-	// Stride is the number of token steps in one pass; an event of a stream
+	// StepsPerEvent is the number of token steps in one pass; an event of a stream
 	// comes with each pass.
-	Stride int
-	// StepMillis is the fixed part of a token step, SequenceMillis the part for
+	StepsPerEvent int
+	// BaseStepMillis is the fixed part of a token step, StepMillisPerRequest the part for
 	// each running request.
-	StepMillis     float64
-	SequenceMillis float64
+	BaseStepMillis       float64
+	StepMillisPerRequest float64
 }
 
 // pass returns the length of a pass with n requests at each engine, if all are
 // evenly loaded and none reads a prompt.
 func (e Engine) pass(n float64) float64 {
-	return float64(max(e.Stride, 1)) * (e.StepMillis + n*e.SequenceMillis)
+	return float64(max(e.StepsPerEvent, 1)) * (e.BaseStepMillis + n*e.StepMillisPerRequest)
 }
 
 // fitting returns the number of requests with which a pass that takes factor
 // times as long as the figures say lasts for most.
 func (e Engine) fitting(most, factor float64) float64 {
-	if e.SequenceMillis <= 0 {
+	if e.StepMillisPerRequest <= 0 {
 		return float64(e.Slots)
 	}
-	return (most/(factor*float64(max(e.Stride, 1))) - e.StepMillis) / e.SequenceMillis
+	return (most/(factor*float64(max(e.StepsPerEvent, 1))) - e.BaseStepMillis) / e.StepMillisPerRequest
 }
 
 // Config holds the limits of a Limit. A zero field takes its default.
 type Config struct {
-	// Margin is the part of the longest pause that callers accept which a pass
+	// GapFraction is the part of the longest pause that callers accept which a pass
 	// may take. The rest is for the way and for single passes that last longer
 	// than their neighbours.
-	Margin float64
-	// Reserve is how much longer than usual a pass is taken to be. Higher, and
+	GapFraction float64
+	// SafetyFactor is how much longer than usual a pass is taken to be. Higher, and
 	// fewer streams are late when the experts in demand turn, but more are
 	// turned away all the time.
-	Reserve float64
-	// Period is the time over which pauses are gathered into one figure. It has
+	SafetyFactor float64
+	// SamplePeriod is the time over which pauses are gathered into one figure. It has
 	// to hold a pass or two.
-	Period burdockclock.Millis
-	// Memory is the time over which the usual is taken: longer than the time
+	SamplePeriod burdockclock.Millis
+	// AveragingTime is the time over which the usual is taken: longer than the time
 	// between two turns of the experts in demand, which come every few seconds,
 	// as a bound that follows each turn is always late.
-	Memory burdockclock.Millis
-	// StartFactor is the factor by which passes are taken to be longer than the
+	AveragingTime burdockclock.Millis
+	// InitialSlowdown is the factor by which passes are taken to be longer than the
 	// figures say until some have been seen.
-	StartFactor float64
-	// MostFactor bounds what one period can show: a group that stalls shows
+	InitialSlowdown float64
+	// MaxSlowdown bounds what one period can show: a group that stalls shows
 	// nothing of how many requests it can run.
-	MostFactor float64
-	// Least is the number of streams for each engine that the bound never falls
+	MaxSlowdown float64
+	// MinPerEngine is the number of streams for each engine that the bound never falls
 	// below, so that pauses can still be seen.
-	Least float64
-	// Fresh is how long a report of load stands as it is, and Fade the time in
+	MinPerEngine float64
+	// ReportFreshFor is how long a report of load stands as it is, and ReportHalfLife the time in
 	// which it fades by half after that: about half the length of a stream.
-	Fresh burdockclock.Millis
-	Fade  burdockclock.Millis
-	// Share is the part of what is left that an entry takes up which has heard
+	ReportFreshFor burdockclock.Millis
+	ReportHalfLife burdockclock.Millis
+	// ShareWithoutReports is the part of what is left that an entry takes up which has heard
 	// nothing of late.
-	Share float64
+	ShareWithoutReports float64
 }
 
 // Defaults of Config.
@@ -119,19 +119,19 @@
 // New returns a limit for a number of engines, whose callers accept pauses of
 // longest.
 func New(cfg Config, engine Engine, engines int, longest burdockclock.Millis) *Limit {
-	setDefault(&cfg.Margin, defaultMargin)
-	setDefault(&cfg.Reserve, defaultReserve)
-	setDefault(&cfg.Period, defaultPeriod)
-	setDefault(&cfg.Memory, defaultMemory)
-	setDefault(&cfg.StartFactor, defaultStartFactor)
-	setDefault(&cfg.MostFactor, defaultMostFactor)
-	setDefault(&cfg.Least, defaultLeast)
-	setDefault(&cfg.Fresh, defaultFresh)
-	setDefault(&cfg.Fade, defaultFade)
-	setDefault(&cfg.Share, defaultShare)
+	setDefault(&cfg.GapFraction, defaultMargin)
+	setDefault(&cfg.SafetyFactor, defaultReserve)
+	setDefault(&cfg.SamplePeriod, defaultPeriod)
+	setDefault(&cfg.AveragingTime, defaultMemory)
+	setDefault(&cfg.InitialSlowdown, defaultStartFactor)
+	setDefault(&cfg.MaxSlowdown, defaultMostFactor)
+	setDefault(&cfg.MinPerEngine, defaultLeast)
+	setDefault(&cfg.ReportFreshFor, defaultFresh)
+	setDefault(&cfg.ReportHalfLife, defaultFade)
+	setDefault(&cfg.ShareWithoutReports, defaultShare)
 	return &Limit{
 		cfg: cfg, engine: engine, engines: max(engines, 1), longest: longest,
-		reports: map[burdockid.Upstream]report{}, usual: cfg.StartFactor,
+		reports: map[burdockid.Upstream]report{}, usual: cfg.InitialSlowdown,
 	}
 }
 
@@ -162,7 +162,7 @@
 func (l *Limit) heard(now burdockclock.Millis) (others, own float64) {
 	weights := 0.0
 	for _, r := range l.reports {
-		weight := math.Exp2(-float64(now-r.at) / float64(l.cfg.Fade))
+		weight := math.Exp2(-float64(now-r.at) / float64(l.cfg.ReportHalfLife))
 		others += weight * r.others
 		own += weight * r.own
 		weights += weight
@@ -185,42 +185,42 @@
 	for _, r := range l.reports {
 		newest = min(newest, now-r.at)
 	}
-	if newest <= l.cfg.Fresh {
+	if newest <= l.cfg.ReportFreshFor {
 		return 1
 	}
-	return math.Exp2(-float64(newest-l.cfg.Fresh) / float64(l.cfg.Fade))
+	return math.Exp2(-float64(newest-l.cfg.ReportFreshFor) / float64(l.cfg.ReportHalfLife))
 }
 
-// Pause tells of the time between two events of a stream.
-func (l *Limit) Pause(now, pause burdockclock.Millis) {
+// ObserveEventGap tells of the time between two events of a stream.
+func (l *Limit) ObserveEventGap(now, pause burdockclock.Millis) {
 	if l.n == 0 {
 		l.beganAt = now
 	}
 	l.sum += float64(pause)
 	l.n++
-	if now-l.beganAt >= l.cfg.Period {
+	if now-l.beganAt >= l.cfg.SamplePeriod {
 		l.endPeriod(now)
 	}
 }
 
 func (l *Limit) endPeriod(now burdockclock.Millis) {
-	l.factor = min(l.sum/float64(l.n)/l.engine.pass(l.load(now)), l.cfg.MostFactor)
-	weight := min(float64(now-l.beganAt)/float64(l.cfg.Memory), 1)
+	l.factor = min(l.sum/float64(l.n)/l.engine.pass(l.load(now)), l.cfg.MaxSlowdown)
+	weight := min(float64(now-l.beganAt)/float64(l.cfg.AveragingTime), 1)
 	l.usual += weight * (l.factor - l.usual)
 	l.sum, l.n = 0, 0
 }
 
 // State is what a Limit believes.
 type State struct {
-	Load    float64 `json:"load"`    // requests at each engine
-	Factor  float64 `json:"factor"`  // of the last period
-	Usual   float64 `json:"usual"`   // factor
-	Fitting float64 `json:"fitting"` // requests that each engine may have
+	Load            float64 `json:"load"`    // requests at each engine
+	Slowdown        float64 `json:"factor"`  // of the last period
+	TypicalSlowdown float64 `json:"usual"`   // factor
+	MaxPerEngine    float64 `json:"fitting"` // requests that each engine may have
 }
 
 // State returns what the limit believes now.
 func (l *Limit) State(now burdockclock.Millis) State {
-	return State{Load: l.load(now), Factor: l.factor, Usual: l.usual, Fitting: l.fitting()}
+	return State{Load: l.load(now), Slowdown: l.factor, TypicalSlowdown: l.usual, MaxPerEngine: l.fitting()}
 }
 
 // fitting returns the number of requests that each engine may have.
@@ -231,8 +231,8 @@
 // backlog never drains. Where not even a few would fit, nothing can be in time,
 // and as many run as the engines take: late answers are better than none.
 func (l *Limit) fitting() float64 {
-	fit := l.engine.fitting(l.cfg.Margin*float64(l.longest), l.usual*l.cfg.Reserve)
-	if fit < l.cfg.Least {
+	fit := l.engine.fitting(l.cfg.GapFraction*float64(l.longest), l.usual*l.cfg.SafetyFactor)
+	if fit < l.cfg.MinPerEngine {
 		return float64(l.engine.Slots)
 	}
 	return min(fit, float64(l.engine.Slots))
@@ -249,7 +249,7 @@
 	return fits * math.Sqrt(fits)
 }
 
-// Streams returns how many streams this entry may have running, of which it has
+// MaxStreams returns how many streams this entry may have running, of which it has
 // running now.
 //
 // Load: one entry or hundreds, which see uneven traffic and don't talk to each
@@ -260,7 +260,7 @@
 // were told. Those parts add up to one, however many entries there are, and what
 // each has started since counts against its own part alone. An entry that hears
 // nothing knows no longer what its part is, and takes up more.
-func (l *Limit) Streams(now burdockclock.Millis, running int) int {
+func (l *Limit) MaxStreams(now burdockclock.Millis, running int) int {
 	l.own = float64(running) / float64(l.engines)
 	fit := l.fitting()
 	others, own := l.heard(now)
@@ -273,7 +273,7 @@
 		bound = known * min(part, max(fit-others, own)) * float64(l.engines)
 	}
 	if left := fit - others - l.own; left > 0 {
-		bound += (1 - known) * (float64(running) + left*float64(l.engines)*l.cfg.Share)
+		bound += (1 - known) * (float64(running) + left*float64(l.engines)*l.cfg.ShareWithoutReports)
 	}
 	return max(int(math.Ceil(bound)), 1)
 }
--- a/internal/decide/burdockpace/pace_test.go
+++ b/internal/decide/burdockpace/pace_test.go
@@ -9,7 +9,7 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-var testEngine = Engine{Slots: 12, Stride: 4, StepMillis: 4.5, SequenceMillis: 0.9}
+var testEngine = Engine{Slots: 12, StepsPerEvent: 4, BaseStepMillis: 4.5, StepMillisPerRequest: 0.9}
 
 const (
 	testEngines                     = 16
@@ -75,7 +75,7 @@
 	for e := range m.running {
 		m.advance(e, took)
 		for range wanted(e) {
-			if len(m.running[e]) >= m.limits[e].Streams(m.now, len(m.running[e])) {
+			if len(m.running[e]) >= m.limits[e].MaxStreams(m.now, len(m.running[e])) {
 				break
 			}
 			s := stream{engine: m.random.IntN(m.engines), left: testEvents}
@@ -89,7 +89,7 @@
 func (m *model) advance(e int, took burdockclock.Millis) {
 	var left []stream
 	for _, s := range m.running[e] {
-		m.limits[e].Pause(m.now, took)
+		m.limits[e].ObserveEventGap(m.now, took)
 		s.late = s.late || took > testPause
 		if s.left--; s.left > 0 {
 			left = append(left, s)
@@ -187,8 +187,8 @@
 func TestHopelessPauses(t *testing.T) {
 	l := New(Config{}, testEngine, testEngines, testPause)
 	for now := burdockclock.Millis(0); now < 20*burdockclock.Second; now += 400 {
-		l.Streams(now, 16)
-		l.Pause(now, 400)
+		l.MaxStreams(now, 16)
+		l.ObserveEventGap(now, 400)
 	}
 	if got, want := l.fitting(), float64(testEngine.Slots); got != want {
 		t.Errorf("requests for each engine: got %.1f, want %.1f", got, want)
@@ -202,10 +202,10 @@
 	for e := range testEngines {
 		l.Report(0, burdockid.Upstream(fmt.Sprint(e)), 12, 0)
 	}
-	if got, want := l.Streams(1, 0), 1; got != want {
+	if got, want := l.MaxStreams(1, 0), 1; got != want {
 		t.Errorf("while the engines are full: got %d streams, want %d", got, want)
 	}
-	if got, least := l.Streams(3*burdockclock.Second, 0), 10; got < least {
+	if got, least := l.MaxStreams(3*burdockclock.Second, 0), 10; got < least {
 		t.Errorf("three seconds later: got %d streams, want %d at least", got, least)
 	}
 }
@@ -215,10 +215,10 @@
 // times over.
 func TestBoundIsNeverMoreThanFits(t *testing.T) {
 	l := New(Config{}, testEngine, testEngines, testPause)
-	l.Streams(0, 1)
+	l.MaxStreams(0, 1)
 	l.Report(1, "0", 1, 1)
-	got := l.Streams(2, 1)
-	if most := int(l.State(2).Fitting*float64(testEngines)) + 1; got > most {
+	got := l.MaxStreams(2, 1)
+	if most := int(l.State(2).MaxPerEngine*float64(testEngines)) + 1; got > most {
 		t.Errorf("after one report: got %d streams, want %d at most", got, most)
 	}
 }
--- a/internal/decide/burdockplace/choose.go
+++ b/internal/decide/burdockplace/choose.go
@@ -74,7 +74,7 @@
 	// after them keep nothing of the prefix, and an upstream that reported lately
 	// is the better choice. The last offer carries no bound and must not go to a
 	// home: all that overflows from a hot prefix would be queued there.
-	if req.Attempt < min(p.cfg.Home, p.cfg.Offers) {
+	if req.Attempt < min(p.cfg.Owners, p.cfg.BoundedOffers) {
 		if choice, ok := c.home(); ok {
 			return choice, true
 		}
@@ -102,20 +102,20 @@
 	cfg := &c.p.cfg
 	if len(c.req.Prefix) == 0 {
 		c.order(c.p.rnd.Uint64(), 1, 0)
-		c.collect(cfg.Home)
+		c.collect(cfg.Owners)
 		return c.pick(0, ReasonNoPrefix)
 	}
 	key := affinityKey(c.req.Prefix)
 	if c.req.Attempt > 0 {
-		c.p.widths.widen(c.now, cfg.WidthHalfLife, key, cfg.Home)
+		c.p.widths.widen(c.now, cfg.WidthHalfLife, key, cfg.Owners)
 	}
-	width := c.p.widths.get(c.now, cfg.WidthHalfLife, key, cfg.Home)
+	width := c.p.widths.get(c.now, cfg.WidthHalfLife, key, cfg.Owners)
 	reason := ReasonAffinity
-	if width > cfg.Home {
+	if width > cfg.Owners {
 		reason = ReasonSpread
 	}
 	c.order(key, width, c.spread(width))
-	c.collect(cfg.Home)
+	c.collect(cfg.Owners)
 	return c.first(reason)
 }
 
@@ -162,9 +162,9 @@
 func (c *chooser) spill() (Choice, bool) {
 	first := c.seen.n
 	c.order(c.p.rnd.Uint64(), 1, 0)
-	c.collect(c.p.cfg.Spill)
-	c.collectRecent(c.p.cfg.Recent)
-	reason := ReasonSpill
+	c.collect(c.p.cfg.OverflowCandidates)
+	c.collectRecent(c.p.cfg.RecentCandidates)
+	reason := ReasonOverflow
 	if len(c.req.Prefix) == 0 {
 		reason = ReasonNoPrefix
 	}
@@ -274,7 +274,7 @@
 		panic("burdockplace: chose an upstream that may get nothing: " + string(chosen.upstream))
 	}
 	choice := Choice{Upstream: chosen.upstream, Reason: reason, Candidates: c.seen.n}
-	if c.req.Attempt < c.p.cfg.Offers && reason != ReasonSaturated {
+	if c.req.Attempt < c.p.cfg.BoundedOffers && reason != ReasonSaturated {
 		choice.MaxLoad = c.bound
 	}
 	return choice
--- a/internal/decide/burdockplace/config.go
+++ b/internal/decide/burdockplace/config.go
@@ -8,22 +8,22 @@
 
 // Config holds the limits of a placer. A zero field takes its default.
 type Config struct {
-	// Home is how many upstreams a prefix that is not hot belongs to.
+	// Owners is how many upstreams a prefix that is not hot belongs to.
 	//
 	// Made for: a pool whose caches hold a part of all prefixes. More homes
 	// give more choice by load and data centre; each also takes a copy of the
 	// prefix into another cache.
-	Home int
-	// Spill is how many further upstreams are compared once the homes are
+	Owners int
+	// OverflowCandidates is how many further upstreams are compared once the homes are
 	// loaded beyond the bound. Two random choices already take away most of
 	// the excess of one; more add little and cost time.
-	Spill int
-	// Recent is how many of the upstreams that reported lately are compared
+	OverflowCandidates int
+	// RecentCandidates is how many of the upstreams that reported lately are compared
 	// with them.
-	Recent int
-	// Offers is how many offers of one request carry a bound. The next one
+	RecentCandidates int
+	// BoundedOffers is how many offers of one request carry a bound. The next one
 	// carries none, so that a request is never passed around without end.
-	Offers int
+	BoundedOffers int
 	// BoundRatio is the load, as a multiple of the mean over the fleet, beyond
 	// which a prefix spills. Harm prevented: one hot prefix holds its homes at
 	// a load that every other request there feels at each step.
@@ -67,10 +67,10 @@
 )
 
 func (c Config) withDefaults() Config {
-	c.Home = cmp.Or(c.Home, defaultHome)
-	c.Spill = cmp.Or(c.Spill, defaultSpill)
-	c.Recent = cmp.Or(c.Recent, defaultRecent)
-	c.Offers = cmp.Or(c.Offers, defaultOffers)
+	c.Owners = cmp.Or(c.Owners, defaultHome)
+	c.OverflowCandidates = cmp.Or(c.OverflowCandidates, defaultSpill)
+	c.RecentCandidates = cmp.Or(c.RecentCandidates, defaultRecent)
+	c.BoundedOffers = cmp.Or(c.BoundedOffers, defaultOffers)
 	c.BoundRatio = cmp.Or(c.BoundRatio, defaultBoundRatio)
 	c.BoundSlack = cmp.Or(c.BoundSlack, defaultBoundSlack)
 	c.BoundFloor = cmp.Or(c.BoundFloor, defaultBoundFloor)
@@ -79,7 +79,7 @@
 	c.RemotePenalty = cmp.Or(c.RemotePenalty, defaultRemotePenalty)
 	c.WidthHalfLife = cmp.Or(c.WidthHalfLife, defaultWidthHalfLife)
 	// The candidates of one choice live in an array on the stack.
-	c.Home = min(c.Home, maxCandidates/2)
-	c.Spill = min(c.Spill, maxCandidates/2)
+	c.Owners = min(c.Owners, maxCandidates/2)
+	c.OverflowCandidates = min(c.OverflowCandidates, maxCandidates/2)
 	return c
 }
--- a/internal/decide/burdockplace/place.go
+++ b/internal/decide/burdockplace/place.go
@@ -53,8 +53,8 @@
 	// ReasonSpread: the prefix is hot and this is one of the upstreams that it
 	// is spread over.
 	ReasonSpread Reason = "spread"
-	// ReasonSpill: the upstreams of the prefix are loaded beyond the bound.
-	ReasonSpill Reason = "spill"
+	// ReasonOverflow: the upstreams of the prefix are loaded beyond the bound.
+	ReasonOverflow Reason = "spill"
 	// ReasonNoPrefix: the request has no prefix worth caching.
 	ReasonNoPrefix Reason = "noPrefix"
 	// ReasonSaturated: every candidate is loaded beyond the bound.
--- a/internal/decide/burdockplace/state.go
+++ b/internal/decide/burdockplace/state.go
@@ -7,10 +7,10 @@
 
 // State is what a dump of the process shows of a placer.
 type State struct {
-	MeanLoad  float64       `json:"meanLoad"`
-	Bound     float64       `json:"bound"`
-	Upstreams []MemberState `json:"upstreams"`
-	Hot       []HotState    `json:"hot"`
+	MeanLoad    float64          `json:"meanLoad"`
+	Bound       float64          `json:"bound"`
+	Upstreams   []MemberState    `json:"upstreams"`
+	HotPrefixes []HotPrefixState `json:"hot"`
 }
 
 // MemberState is what a dump shows of one upstream.
@@ -25,8 +25,8 @@
 	InFlight     int                  `json:"inFlight"`
 }
 
-// HotState is what a dump shows of one prefix that has been spread.
-type HotState struct {
+// HotPrefixState is what a dump shows of one prefix that has been spread.
+type HotPrefixState struct {
 	Prefix uint64              `json:"prefix"`
 	Width  float64             `json:"width"`
 	At     burdockclock.Millis `json:"at"`
@@ -35,17 +35,17 @@
 // State returns a copy of what the placer knows.
 func (p *Placer) State() State {
 	s := State{
-		MeanLoad:  p.fleet.mean,
-		Bound:     p.bound(),
-		Upstreams: make([]MemberState, len(p.members)),
-		Hot:       []HotState{},
+		MeanLoad:    p.fleet.mean,
+		Bound:       p.bound(),
+		Upstreams:   make([]MemberState, len(p.members)),
+		HotPrefixes: []HotPrefixState{},
 	}
 	for i := range p.members {
 		s.Upstreams[i] = p.members[i].state()
 	}
 	for _, place := range p.widths.places {
 		if place.value > 0 {
-			s.Hot = append(s.Hot, HotState{Prefix: place.key, Width: float64(place.value), At: place.at})
+			s.HotPrefixes = append(s.HotPrefixes, HotPrefixState{Prefix: place.key, Width: float64(place.value), At: place.at})
 		}
 	}
 	return s
--- a/internal/measure/burdockcapacitylab/fleet.go
+++ b/internal/measure/burdockcapacitylab/fleet.go
@@ -85,7 +85,7 @@
 	if err != nil {
 		return nil, err
 	}
-	entries := make([]burdockconfig.Entry, 0, len(entities)+len(f.Services)*burdockledger.Slots)
+	entries := make([]burdockconfig.Entry, 0, len(entities)+len(f.Services)*burdockledger.SlotCount)
 	for _, e := range entities {
 		entries = append(entries, entry(e.Key, 1, e.Value))
 	}
@@ -112,7 +112,7 @@
 		}
 	}
 	var entries []burdockconfig.Entry
-	for slot := range burdockledger.Slot(burdockledger.Slots) {
+	for slot := range burdockledger.Slot(burdockledger.SlotCount) {
 		home := burdockhome.Home{Upstream: burdockhome.Order(service, slot, members)[0], Incarnation: burdockid.NewIncarnation()}
 		value, err := burdockhome.Encode(home)
 		if err != nil {
--- a/internal/measure/burdockcapacitylab/serve.go
+++ b/internal/measure/burdockcapacitylab/serve.go
@@ -104,8 +104,8 @@
 func MeasureLedger(n int) LedgerCost {
 	l, held := heapOf(func() *burdockledger.Ledger {
 		l := burdockledger.New()
-		for slot := range burdockledger.Slot(burdockledger.Slots) {
-			l.Hold(slot, 0)
+		for slot := range burdockledger.Slot(burdockledger.SlotCount) {
+			l.AcquireSlot(slot, 0)
 		}
 		for i := range n {
 			l.Decide(burdockclock.Millis(i), askOf(i))
@@ -115,7 +115,7 @@
 	cost := LedgerCost{Keys: n, Bytes: held}
 	repeat := askOf(0)
 	cost.Decide = processorTime(func() { l.Decide(1, repeat) })
-	cost.Lines = processorTime(func() { l.Lines(burdockledger.SlotOf(repeat.Key)) })
+	cost.Lines = processorTime(func() { l.ExportSlot(burdockledger.SlotOf(repeat.Key)) })
 	cost.Take = measureTake(l, n)
 	runtime.KeepAlive(l)
 	return cost
@@ -124,19 +124,19 @@
 const takenShare = 10
 
 func measureTake(l *burdockledger.Ledger, n int) time.Duration {
-	lines := make([]burdockledger.Line, n/takenShare)
+	lines := make([]burdockledger.HandoverRecord, n/takenShare)
 	for i := range lines {
 		a := askOf(n + i)
-		lines[i] = burdockledger.Line{Key: a.Key, Request: a.Request, Fingerprint: a.Fingerprint, At: burdockclock.Millis(i * takenShare)}
+		lines[i] = burdockledger.HandoverRecord{Key: a.Key, Request: a.Request, Fingerprint: a.Fingerprint, ReceivedAt: burdockclock.Millis(i * takenShare)}
 	}
 	before := used()
-	l.Take(0, 0, lines)
+	l.ImportSlot(0, 0, lines)
 	return used() - before
 }
 
-func askOf(i int) burdockledger.Ask {
+func askOf(i int) burdockledger.KeyedRequest {
 	key := burdockid.IdempotencyKey(fmt.Sprintf("key-%d", i))
-	return burdockledger.Ask{Key: burdockledger.KeyOf("amplifier-lab", key), Request: burdockid.NewRequest(), Fingerprint: 1}
+	return burdockledger.KeyedRequest{Key: burdockledger.KeyOf("amplifier-lab", key), Request: burdockid.NewRequest(), Fingerprint: 1}
 }
 
 // HomesCost is what looking after the homes of a service's keys costs one
@@ -159,7 +159,7 @@
 		members[i] = upstreamName(i)
 	}
 	settled := burdockhome.Homes{}
-	for slot := range burdockledger.Slot(burdockledger.Slots) {
+	for slot := range burdockledger.Slot(burdockledger.SlotCount) {
 		settled[slot] = burdockhome.Versioned{Home: burdockhome.Home{Upstream: members[1+int(slot)%(n-1)], Incarnation: "1"}, Version: 1}
 	}
 	c := burdockhome.NewClaimer(burdockhome.Self{Service: service, Upstream: members[0], Incarnation: "1"})
--- a/internal/measure/burdockplacelab/command.go
+++ b/internal/measure/burdockplacelab/command.go
@@ -32,9 +32,9 @@
 	flags.StringVar((*string)(&o.Scenario), "scenario", string(o.Scenario), "what goes wrong: steady, slow or lost")
 	only := flags.String("policies", "", "policies to run, separated by commas; empty runs all")
 	seconds := flags.Int64("seconds", int64(o.Measured/burdockclock.Second), "simulated seconds that are measured, after as many to warm up")
-	flags.IntVar(&o.PlacerConfig.Home, "home", 0, "upstreams that a prefix belongs to; 0 takes the default")
+	flags.IntVar(&o.PlacerConfig.Owners, "home", 0, "upstreams that a prefix belongs to; 0 takes the default")
 	flags.Float64Var(&o.PlacerConfig.BoundRatio, "bound", 0, "load, against the mean, beyond which a request spills; 0 takes the default")
-	flags.IntVar(&o.PlacerConfig.Offers, "offers", 0, "offers of a request that carry the bound; 0 takes the default")
+	flags.IntVar(&o.PlacerConfig.BoundedOffers, "offers", 0, "offers of a request that carry the bound; 0 takes the default")
 	return &ffcli.Command{
 		Name:       "placing",
 		ShortUsage: "burdock measure placing [flags]",
--- a/internal/proof/burdockconfigproof/spread_test.go
+++ b/internal/proof/burdockconfigproof/spread_test.go
@@ -37,7 +37,7 @@
 // do through the configuration, and all processes hold the same.
 func settle(t *testing.T, f *burdockprograms.Fleet) {
 	t.Helper()
-	for slot := range burdockledger.Slot(burdockledger.Slots) {
+	for slot := range burdockledger.Slot(burdockledger.SlotCount) {
 		key := fmt.Sprintf("%s%s/%d", burdockhome.Prefix, burdockprograms.ModelService, slot)
 		burdockprograms.Eventually(t, key+" is claimed", func() bool {
 			_, ok := heldAt(f.Entries[0].Admin, key)
--- a/internal/serve/burdockagent/agent.go
+++ b/internal/serve/burdockagent/agent.go
@@ -126,7 +126,7 @@
 	a.followConfig(now)
 	a.tendJobs(now)
 	a.memory.forget(now)
-	a.keyed.ledger.Forget(a.deps.Clock.Now())
+	a.keyed.ledger.Evict(a.deps.Clock.Now())
 	a.trimAnswers()
 	a.drive(now)
 }
--- a/internal/serve/burdockagent/agent_test.go
+++ b/internal/serve/burdockagent/agent_test.go
@@ -250,7 +250,7 @@
 	r := newRig(t, 0)
 	r.agent.deps.Verified = func() bool { return false }
 	r.agent.mu.Lock()
-	r.agent.keyed.ledger.Hold(0, 0)
+	r.agent.keyed.ledger.AcquireSlot(0, 0)
 	r.agent.mu.Unlock()
 	homes := NewHomes(r.agent, nil, burdockconfig.NewView(), nil)
 	homes.Start()
--- a/internal/serve/burdockagent/cluster_test.go
+++ b/internal/serve/burdockagent/cluster_test.go
@@ -219,7 +219,7 @@
 			c.store.Set(burdockfault.Setting{})
 		case 4, 5:
 			c.calls.Lock()
-			c.clock.Advance(burdockledger.RepeatWindow + burdockledger.Skew + burdockclock.Second)
+			c.clock.Advance(burdockledger.RepeatWindow + burdockledger.MaxClockSkew + burdockclock.Second)
 			c.calls.Unlock()
 		default:
 			c.clock.Advance(burdockclock.Millis(c.random.IntN(30)) * burdockclock.Second)
--- a/internal/serve/burdockagent/fuzz_test.go
+++ b/internal/serve/burdockagent/fuzz_test.go
@@ -52,8 +52,8 @@
 		Verified: func() bool { return true }, Heard: func(burdockconfig.Digest) {}, Log: zap.NewNop(),
 		Metrics: metrics.NewSet(), Random: rand.New(rand.NewPCG(1, 2)),
 	})
-	for slot := range burdockledger.Slot(burdockledger.Slots) {
-		a.keyed.ledger.Hold(slot, 0)
+	for slot := range burdockledger.Slot(burdockledger.SlotCount) {
+		a.keyed.ledger.AcquireSlot(slot, 0)
 	}
 	clock.Advance(uptime)
 	a.Start()
@@ -145,7 +145,7 @@
 		if err != nil {
 			t.Fatalf("TakeKeys: %v", err)
 		}
-		valid := slot >= 0 && slot < burdockledger.Slots
+		valid := slot >= 0 && slot < burdockledger.SlotCount
 		if got := res.Msg.GetTaken(); got && !valid {
 			t.Errorf("slot %d: got taken, want it refused", slot)
 		}
@@ -155,13 +155,13 @@
 		r.agent.mu.Lock()
 		defer r.agent.mu.Unlock()
 		ledger := r.agent.keyed.ledger
-		ledger.Take(burdockledger.Slot(slot), burdockclock.Millis(since), linesOf(offer))
+		ledger.ImportSlot(burdockledger.Slot(slot), burdockclock.Millis(since), linesOf(offer))
 		wall := r.clock.Clock().Now()
-		ask := burdockledger.Ask{Key: burdockledger.Key{high, low}, Request: "repeat", Fingerprint: burdockledger.Fingerprint(print)}
+		ask := burdockledger.KeyedRequest{Key: burdockledger.Key{high, low}, Request: "repeat", Fingerprint: burdockledger.Fingerprint(print)}
 		if d, ok := ledger.Decide(wall, ask).(burdockledger.Attach); !ok || d.Request != burdockid.Request("first") {
 			t.Errorf("repeat: got %#v, want the first request", d)
 		}
-		ledger.Lines(burdockledger.Slot(slot))
-		ledger.Forget(wall)
+		ledger.ExportSlot(burdockledger.Slot(slot))
+		ledger.Evict(wall)
 	})
 }
--- a/internal/serve/burdockagent/handover.go
+++ b/internal/serve/burdockagent/handover.go
@@ -23,7 +23,7 @@
 // home has all of it.
 func (h *Homes) handOver(ctx context.Context, service burdockid.Service, most int, which func(burdockledger.Slot) bool) {
 	var tasks []task
-	for slot := range burdockledger.Slot(burdockledger.Slots) {
+	for slot := range burdockledger.Slot(burdockledger.SlotCount) {
 		if len(tasks) < most && h.agent.holdsIdle(slot) && which(slot) {
 			tasks = append(tasks, task{homes: h, service: service, slot: slot, do: handing{}})
 		}
--- a/internal/serve/burdockagent/handover_test.go
+++ b/internal/serve/burdockagent/handover_test.go
@@ -13,7 +13,7 @@
 
 const handedKey = "handed over"
 
-func handedAsk() burdockledger.Ask {
+func handedAsk() burdockledger.KeyedRequest {
 	return askOf(&burdockwire.RunRequest{RequestId: "repeat", Customer: historyCustomer, IdempotencyKey: handedKey})
 }
 
@@ -25,7 +25,7 @@
 	if ran {
 		offer.Lines = []*burdockwire.KeyLine{{
 			KeyHigh: ask.Key[0], KeyLow: ask.Key[1], RequestId: "first",
-			Fingerprint: uint64(ask.Fingerprint), Fate: uint32(burdockledger.FateAnswered),
+			Fingerprint: uint64(ask.Fingerprint), Fate: uint32(burdockledger.OutcomeAnswered),
 		}}
 	}
 	return offer
@@ -52,7 +52,7 @@
 func (r *rig) decide() burdockledger.Decision {
 	r.agent.mu.Lock()
 	defer r.agent.mu.Unlock()
-	if !r.agent.keyed.ledger.Holds(burdockledger.SlotOf(handedAsk().Key)) {
+	if !r.agent.keyed.ledger.OwnsSlot(burdockledger.SlotOf(handedAsk().Key)) {
 		return nil
 	}
 	return r.agent.keyed.ledger.Decide(r.clock.Clock().Now(), handedAsk())
@@ -66,7 +66,7 @@
 	r.takeKeys(t, handOver("old", true))
 	r.takeKeys(t, handOver("old", false))
 	r.follow(1, "old")
-	want := burdockledger.Attach{Request: "first", Fate: burdockledger.FateAnswered}
+	want := burdockledger.Attach{Request: "first", Outcome: burdockledger.OutcomeAnswered}
 	if got := r.decide(); got != want {
 		t.Errorf("repeat: got %#v, want %#v", got, want)
 	}
@@ -79,7 +79,7 @@
 	r.takeKeys(t, handOver("last", true))
 	r.takeKeys(t, handOver("earlier", false))
 	r.follow(1, "last")
-	want := burdockledger.Attach{Request: "first", Fate: burdockledger.FateAnswered}
+	want := burdockledger.Attach{Request: "first", Outcome: burdockledger.OutcomeAnswered}
 	if got := r.decide(); got != want {
 		t.Errorf("repeat: got %#v, want %#v", got, want)
 	}
@@ -93,7 +93,7 @@
 	r.follow(1, "")
 	r.takeKeys(t, handOver("between", true))
 	r.follow(3, "between")
-	want := burdockledger.Attach{Request: "first", Fate: burdockledger.FateAnswered}
+	want := burdockledger.Attach{Request: "first", Outcome: burdockledger.OutcomeAnswered}
 	if got := r.decide(); got != want {
 		t.Errorf("repeat: got %#v, want %#v", got, want)
 	}
--- a/internal/serve/burdockagent/history_test.go
+++ b/internal/serve/burdockagent/history_test.go
@@ -305,4 +305,4 @@
 }
 
 // settledHomes reports whether every slot has a home.
-func settledHomes(homes burdockhome.Homes) bool { return len(homes) == burdockledger.Slots }
+func settledHomes(homes burdockhome.Homes) bool { return len(homes) == burdockledger.SlotCount }
--- a/internal/serve/burdockagent/homes.go
+++ b/internal/serve/burdockagent/homes.go
@@ -132,7 +132,7 @@
 
 func (h *Homes) leave(ctx context.Context, service burdockid.Service) {
 	before := h.agent.heldSlots()
-	h.handOver(ctx, service, burdockledger.Slots, func(burdockledger.Slot) bool { return true })
+	h.handOver(ctx, service, burdockledger.SlotCount, func(burdockledger.Slot) bool { return true })
 	if h.agent.heldSlots() < before || !h.agent.Idle() {
 		h.fruitless.Store(0)
 		return
--- a/internal/serve/burdockagent/keys.go
+++ b/internal/serve/burdockagent/keys.go
@@ -56,20 +56,20 @@
 // the home tells: a slot that is held from another version is taken anew.
 func (k *keyed) follow(homes burdockhome.Homes, self burdockid.Upstream, inc burdockid.Incarnation) {
 	k.homes = homes
-	for slot := range burdockledger.Slot(burdockledger.Slots) {
+	for slot := range burdockledger.Slot(burdockledger.SlotCount) {
 		home, known := homes[slot]
 		own := known && home.Upstream == self && home.Incarnation == inc
 		switch {
-		case own && (!k.ledger.Holds(slot) || k.heldAt[slot] != home.Version):
+		case own && (!k.ledger.OwnsSlot(slot) || k.heldAt[slot] != home.Version):
 			k.hold(slot, home)
-		case !own && k.ledger.Holds(slot):
+		case !own && k.ledger.OwnsSlot(slot):
 			k.drop(slot)
 		}
 	}
 }
 
 func (k *keyed) drop(slot burdockledger.Slot) {
-	k.ledger.Drop(slot)
+	k.ledger.ReleaseSlot(slot)
 	delete(k.moving, slot)
 	delete(k.heldAt, slot)
 }
@@ -82,27 +82,27 @@
 	delete(k.moving, slot)
 	switch {
 	case home.From == "":
-		k.ledger.Hold(slot, home.SinceMillis)
+		k.ledger.AcquireSlot(slot, home.SinceMillis)
 	case offer == nil:
 		// The configuration speaks of a handover that this process never got. It
 		// is named by incarnation, so this can't be; running nothing is safe.
 		k.drop(slot)
 		return
 	default:
-		k.ledger.Take(slot, home.SinceMillis, linesOf(offer))
+		k.ledger.ImportSlot(slot, home.SinceMillis, linesOf(offer))
 	}
 	k.heldAt[slot] = home.Version
 }
 
-func linesOf(offer *burdockwire.TakeKeysRequest) []burdockledger.Line {
-	lines := make([]burdockledger.Line, len(offer.GetLines()))
+func linesOf(offer *burdockwire.TakeKeysRequest) []burdockledger.HandoverRecord {
+	lines := make([]burdockledger.HandoverRecord, len(offer.GetLines()))
 	for i, l := range offer.GetLines() {
-		lines[i] = burdockledger.Line{
+		lines[i] = burdockledger.HandoverRecord{
 			Key:         burdockledger.Key{l.GetKeyHigh(), l.GetKeyLow()},
 			Request:     burdockid.Request(l.GetRequestId()),
 			Fingerprint: burdockledger.Fingerprint(l.GetFingerprint()),
-			Fate:        burdockledger.Fate(l.GetFate()),
-			At:          burdockclock.Millis(l.GetAtMillis()),
+			Outcome:     burdockledger.Outcome(l.GetFate()),
+			ReceivedAt:  burdockclock.Millis(l.GetAtMillis()),
 		}
 	}
 	return lines
@@ -115,20 +115,20 @@
 
 // askOf converts a request with a key. It hashes the whole body, so it is for
 // the one moment in which the ledger decides; elsewhere keyOf is enough.
-func askOf(req *burdockwire.RunRequest) burdockledger.Ask {
+func askOf(req *burdockwire.RunRequest) burdockledger.KeyedRequest {
 	key := burdockid.IdempotencyKey(req.GetIdempotencyKey())
-	birth, _ := burdockledger.Birth(key)
+	birth, _ := burdockledger.CreationTime(key)
 	var print xxhash.Digest
 	print.Reset()
 	for _, part := range []string{req.GetMethod(), req.GetPath(), req.GetQuery()} {
 		_, _ = print.WriteString(part + "\x00")
 	}
 	_, _ = print.Write(req.GetBody())
-	return burdockledger.Ask{
+	return burdockledger.KeyedRequest{
 		Key:         keyOf(req),
 		Request:     burdockid.Request(req.GetRequestId()),
 		Fingerprint: burdockledger.Fingerprint(print.Sum64()),
-		Birth:       birth,
+		CreatedAt:   birth,
 	}
 }
 
@@ -149,7 +149,7 @@
 func (a *Agent) checkKey(req *burdockwire.RunRequest) verdict {
 	ask := askOf(req)
 	slot := burdockledger.SlotOf(ask.Key)
-	if !a.keyed.ledger.Holds(slot) || a.keyed.moving[slot] || !a.deps.Verified() {
+	if !a.keyed.ledger.OwnsSlot(slot) || a.keyed.moving[slot] || !a.deps.Verified() {
 		return verdict{refused: &refused{
 			reason:      burdockwire.RefusedReason_REFUSED_REASON_KEY_NOT_HERE,
 			retryAfter:  homeRetry,
@@ -177,7 +177,7 @@
 	if j, ok := a.jobs[d.Request]; ok {
 		return verdict{job: j}
 	}
-	if d.Fate == burdockledger.FateAnswered {
+	if d.Outcome == burdockledger.OutcomeAnswered {
 		return verdict{cut: &cut{
 			reason:      burdockwire.CutReason_CUT_REASON_ANSWER_GONE,
 			explanation: "the key's request ran to its end, and its answer is no longer kept",
@@ -192,7 +192,7 @@
 // forgetKey lets the key of a request that was not run come again.
 func (a *Agent) forgetKey(req *burdockwire.RunRequest) {
 	if req.GetIdempotencyKey() != "" {
-		a.keyed.ledger.NotRun(keyOf(req), burdockid.Request(req.GetRequestId()))
+		a.keyed.ledger.RecordNotRun(keyOf(req), burdockid.Request(req.GetRequestId()))
 	}
 }
 
@@ -204,11 +204,11 @@
 	key := keyOf(j.request)
 	switch o.(type) {
 	case ended:
-		a.keyed.ledger.End(key, j.id, burdockledger.FateAnswered)
+		a.keyed.ledger.RecordOutcome(key, j.id, burdockledger.OutcomeAnswered)
 	case refused:
-		a.keyed.ledger.NotRun(key, j.id)
+		a.keyed.ledger.RecordNotRun(key, j.id)
 	case cut:
-		a.keyed.ledger.End(key, j.id, burdockledger.FateUnknown)
+		a.keyed.ledger.RecordOutcome(key, j.id, burdockledger.OutcomeUnknown)
 	}
 }
 
@@ -249,6 +249,6 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	slot := burdockledger.Slot(req.Msg.GetSlot())
-	taken := !a.draining && slot >= 0 && slot < burdockledger.Slots && a.keyed.take(slot, req.Msg)
+	taken := !a.draining && slot >= 0 && slot < burdockledger.SlotCount && a.keyed.take(slot, req.Msg)
 	return connect.NewResponse(&burdockwire.TakeKeysResponse{Taken: taken, Incarnation: string(a.incarnation)}), nil
 }
--- a/internal/serve/burdockagent/slots.go
+++ b/internal/serve/burdockagent/slots.go
@@ -10,7 +10,7 @@
 func (a *Agent) holdsIdle(slot burdockledger.Slot) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.keyed.ledger.Holds(slot) && !a.keyed.moving[slot] && !a.busySlot(slot)
+	return a.keyed.ledger.OwnsSlot(slot) && !a.keyed.moving[slot] && !a.busySlot(slot)
 }
 
 func (a *Agent) busySlot(slot burdockledger.Slot) bool {
@@ -27,23 +27,23 @@
 func (a *Agent) beginMove(slot burdockledger.Slot) (*burdockwire.TakeKeysRequest, burdockid.Version, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.keyed.ledger.Holds(slot) || a.busySlot(slot) {
+	if !a.keyed.ledger.OwnsSlot(slot) || a.busySlot(slot) {
 		return nil, 0, false
 	}
 	a.keyed.moving[slot] = true
 	offer := &burdockwire.TakeKeysRequest{
 		FromIncarnation: string(a.incarnation),
 		Slot:            int32(slot),
-		SinceMillis:     int64(a.keyed.ledger.Since(slot)),
+		SinceMillis:     int64(a.keyed.ledger.CompleteSince(slot)),
 	}
-	for _, l := range a.keyed.ledger.Lines(slot) {
+	for _, l := range a.keyed.ledger.ExportSlot(slot) {
 		offer.Lines = append(offer.Lines, &burdockwire.KeyLine{
 			KeyHigh:     l.Key[0],
 			KeyLow:      l.Key[1],
 			RequestId:   string(l.Request),
 			Fingerprint: uint64(l.Fingerprint),
-			Fate:        uint32(l.Fate),
-			AtMillis:    int64(l.At),
+			Fate:        uint32(l.Outcome),
+			AtMillis:    int64(l.ReceivedAt),
 		})
 	}
 	return offer, a.keyed.homes[slot].Version, true
@@ -61,7 +61,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.followConfig(a.deps.Clock.Boot())
-	return a.keyed.ledger.Held()
+	return a.keyed.ledger.OwnedSlots()
 }
 
 func (a *Agent) isDraining() bool {
--- a/internal/serve/burdockdirect/gate.go
+++ b/internal/serve/burdockdirect/gate.go
@@ -102,7 +102,7 @@
 		if cfg.engine.Layers > 0 {
 			g.group = newGroup(cfg.longest)
 		}
-		g.slots = max(g.slots, g.pace.Streams(g.paceNow(), 0))
+		g.slots = max(g.slots, g.pace.MaxStreams(g.paceNow(), 0))
 	default:
 		g.pace.SetEngines(names(cfg.members))
 	}
@@ -116,8 +116,8 @@
 		return burdockpace.Engine{}, false
 	}
 	return burdockpace.Engine{
-		Slots: e.Slots, Stride: e.Stride, StepMillis: e.StepMillis,
-		SequenceMillis: sequenceMillis(e),
+		Slots: e.Slots, StepsPerEvent: e.Stride, BaseStepMillis: e.StepMillis,
+		StepMillisPerRequest: sequenceMillis(e),
 	}, true
 }
 
@@ -194,7 +194,7 @@
 		g.group.StreamEvent(g.clock.Boot())
 	}
 	if g.group == nil || g.group.IsStepInterval(pause) {
-		g.pace.Pause(g.paceNow(), pause)
+		g.pace.ObserveEventGap(g.paceNow(), pause)
 	}
 	g.advance()
 }
@@ -279,8 +279,8 @@
 	g.logAt = now + logEvery
 	state := g.pace.State(g.paceNow())
 	g.log.Info("admission limit", zap.Int("limit", g.slots), zap.Int("running", load.Running), zap.Int("waiting", load.Queued),
-		zap.Float64("engineLoad", state.Load), zap.Float64("engineMost", state.Fitting),
-		zap.Float64("passFactor", state.Factor), zap.Float64("usualFactor", state.Usual))
+		zap.Float64("engineLoad", state.Load), zap.Float64("engineMost", state.MaxPerEngine),
+		zap.Float64("passFactor", state.Slowdown), zap.Float64("usualFactor", state.TypicalSlowdown))
 }
 
 // arm sets the timer for the next instant at which the queue has something to
--- a/internal/serve/burdockdirect/opening.go
+++ b/internal/serve/burdockdirect/opening.go
@@ -60,7 +60,7 @@
 	g.queue.Pause(now, state != burdocklockstep.Advancing)
 	switch {
 	case state == burdocklockstep.Advancing:
-		return g.pace.Streams(g.paceNow(), running)
+		return g.pace.MaxStreams(g.paceNow(), running)
 	case state == burdocklockstep.Closed && wanted && g.group.TryProbe(now):
 		g.queue.AllowProbe(now)
 		return max(g.slots, running+1)
--- a/internal/serve/burdockdirect/rules_test.go
+++ b/internal/serve/burdockdirect/rules_test.go
@@ -517,7 +517,7 @@
 	if got := p.gate.load().Slots; got == plain {
 		t.Errorf("streams that may run: got %d as before", got)
 	}
-	before := p.gate.pace.State(f.entry.now()).Fitting
+	before := p.gate.pace.State(f.entry.now()).MaxPerEngine
 	cfg.Version++
 	cfg.Routes = slices.Clone(cfg.Routes)
 	for i := range cfg.Routes {
@@ -526,7 +526,7 @@
 		}
 	}
 	f.site.SetConfig(cfg)
-	if got := p.gate.pace.State(f.entry.now()).Fitting; got >= before {
+	if got := p.gate.pace.State(f.entry.now()).MaxPerEngine; got >= before {
 		t.Errorf("requests for each engine with a shorter pause: got %.1f, want less than %.1f", got, before)
 	}
 }
--- a/internal/state/burdockhome/claim.go
+++ b/internal/state/burdockhome/claim.go
@@ -68,7 +68,7 @@
 		return nil
 	}
 	var claims []Claim
-	for slot := range burdockledger.Slot(burdockledger.Slots) {
+	for slot := range burdockledger.Slot(burdockledger.SlotCount) {
 		claim, ok := c.claim(boot, wall, slot, homes, members)
 		if ok {
 			claims = append(claims, claim)
--- a/internal/state/burdockhome/claim_test.go
+++ b/internal/state/burdockhome/claim_test.go
@@ -42,12 +42,12 @@
 	for _, u := range members {
 		counts[u] = claimAll(claimer(u, "1"), 0, 0, homes)
 	}
-	if got, want := len(homes), burdockledger.Slots; got != want {
+	if got, want := len(homes), burdockledger.SlotCount; got != want {
 		t.Fatalf("slots with a home: got %d, want %d", got, want)
 	}
 	for u, n := range counts {
-		if n < burdockledger.Slots/len(members)/2 {
-			t.Errorf("%s is the home of %d of %d slots, want a fair part", u, n, burdockledger.Slots)
+		if n < burdockledger.SlotCount/len(members)/2 {
+			t.Errorf("%s is the home of %d of %d slots, want a fair part", u, n, burdockledger.SlotCount)
 		}
 	}
 }
@@ -78,7 +78,7 @@
 // it must have stopped granting, should it still run, and then get new homes.
 func TestRemovedHomeIsReplacedAfterTheGrace(t *testing.T) {
 	homes := Homes{}
-	for slot := range burdockledger.Slot(burdockledger.Slots) {
+	for slot := range burdockledger.Slot(burdockledger.SlotCount) {
 		homes[slot] = Versioned{Home: Home{Upstream: "removed", Incarnation: "1"}, Version: 4}
 	}
 	a := claimer("a", "1")
--- a/internal/state/burdockhome/fuzz_test.go
+++ b/internal/state/burdockhome/fuzz_test.go
@@ -15,7 +15,7 @@
 		if err != nil {
 			return
 		}
-		if slot < 0 || slot >= burdockledger.Slots || home.Version != 3 {
+		if slot < 0 || slot >= burdockledger.SlotCount || home.Version != 3 {
 			t.Errorf("got slot %d version %d, want a slot and version 3", slot, home.Version)
 		}
 		if got := Key(service, slot); got != key {
--- a/internal/state/burdockhome/home.go
+++ b/internal/state/burdockhome/home.go
@@ -59,7 +59,7 @@
 	// A slot has one key. Were 017 taken for 17, two entries would name its home,
 	// and processes that read them in different order would differ.
 	canonical := Key(burdockid.Service(service), burdockledger.Slot(slot)) == e.Key
-	if !ok || err != nil || slot < 0 || slot >= burdockledger.Slots || !canonical {
+	if !ok || err != nil || slot < 0 || slot >= burdockledger.SlotCount || !canonical {
 		return "", 0, Versioned{}, burdockconfig.ErrMalformed.New("no slot in key %q", e.Key)
 	}
 	home := Versioned{Version: e.Version}
