--- a/internal/serve/burdockdirect/gate.go
+++ b/internal/serve/burdockdirect/gate.go
@@ -102,7 +102,7 @@
 		if cfg.engine.Layers > 0 {
 			g.group = newGroup(cfg.longest)
 		}
-		g.slots = max(g.slots, g.pace.Streams(g.paceNow(), 0))
+		g.slots = max(g.slots, g.pace.MaxStreams(g.paceNow(), 0))
 	default:
 		g.pace.SetEngines(names(cfg.members))
 	}
@@ -116,8 +116,8 @@
 		return burdockpace.Engine{}, false
 	}
 	return burdockpace.Engine{
-		Slots: e.Slots, Stride: e.Stride, StepMillis: e.StepMillis,
-		SequenceMillis: sequenceMillis(e),
+		Slots: e.Slots, StepsPerEvent: e.Stride, BaseStepMillis: e.StepMillis,
+		StepMillisPerRequest: sequenceMillis(e),
 	}, true
 }
 
@@ -191,10 +191,10 @@
 		return
 	}
 	if g.group != nil {
-		g.group.Event(g.clock.Boot())
+		g.group.StreamEvent(g.clock.Boot())
 	}
-	if g.group == nil || g.group.Pause(pause) {
-		g.pace.Pause(g.paceNow(), pause)
+	if g.group == nil || g.group.IsStepInterval(pause) {
+		g.pace.ObserveEventGap(g.paceNow(), pause)
 	}
 	g.advance()
 }
@@ -205,7 +205,7 @@
 	defer g.mu.Unlock()
 	g.firstEvent += (took - g.firstEvent) / firstEventWeight
 	if g.group != nil {
-		g.group.Began(g.clock.Boot())
+		g.group.FirstEvent(g.clock.Boot())
 		g.advance()
 	}
 }
@@ -247,7 +247,7 @@
 // advance tells those who wait what became of them. The lock must be held.
 func (g *gate) advance() {
 	g.fit(false)
-	for _, event := range g.queue.Next(g.clock.Boot()) {
+	for _, event := range g.queue.Dispatch(g.clock.Boot()) {
 		var id burdockid.Request
 		switch e := event.(type) {
 		case burdockqueue.Started:
@@ -279,8 +279,8 @@
 	g.logAt = now + logEvery
 	state := g.pace.State(g.paceNow())
 	g.log.Info("admission limit", zap.Int("limit", g.slots), zap.Int("running", load.Running), zap.Int("waiting", load.Queued),
-		zap.Float64("engineLoad", state.Load), zap.Float64("engineMost", state.Fitting),
-		zap.Float64("passFactor", state.Factor), zap.Float64("usualFactor", state.Usual))
+		zap.Float64("engineLoad", state.Load), zap.Float64("engineMost", state.MaxPerEngine),
+		zap.Float64("passFactor", state.Slowdown), zap.Float64("usualFactor", state.TypicalSlowdown))
 }
 
 // arm sets the timer for the next instant at which the queue has something to
@@ -291,8 +291,8 @@
 		g.timer = nil
 	}
 	at, ok := g.queue.WakeAt()
-	if g.closed() && g.queue.Load().Queued > 0 && (!ok || g.group.ProbeAt() < at) {
-		at, ok = g.group.ProbeAt(), true
+	if g.closed() && g.queue.Load().Queued > 0 && (!ok || g.group.NextProbeAt() < at) {
+		at, ok = g.group.NextProbeAt(), true
 	}
 	if ok {
 		g.timer = time.AfterFunc(max(at-g.clock.Boot(), 1).Duration(), g.run)
