--- a/internal/decide/burdockqueue/admit.go
+++ b/internal/decide/burdockqueue/admit.go
@@ -4,54 +4,55 @@
 	"burdockbend.example/burdockbend/internal/base/burdockclock"
 )
 
-// This file decides whether work that cannot start now may wait.
+// This file contains the admission check: whether a request that cannot start now may be
+// queued.
 
 const (
-	// saturatedShare is the part of MaxQueued beyond which customers are held
-	// to their share of the places. Below it a burst of one customer harms
-	// nobody; from half on there is still room for all others.
-	saturatedShare = 0.5
-	// overtakingMargin lengthens the expected wait of all but the most urgent
-	// class when it is judged whether that is too long: work that comes later
-	// may go first. Without it the queue settles where half of what is admitted
-	// is dropped at its last instant, after the whole wait.
+	// saturationThreshold is the fraction of MaxQueued from which a customer may queue no
+	// more than its share. Below it, a burst of one customer still leaves room for all
+	// others.
+	saturationThreshold = 0.5
+	// overtakingMargin multiplies the expected wait in the admission check of all but the
+	// most urgent class, because later requests may overtake. Without it, half of the
+	// admitted requests of a saturated queue are dropped at the end of their whole wait.
 	overtakingMargin = 1.5
-	// leastRateShare is the part of the engine that a class is always assumed
-	// to get, so that a moment of urgent work does not refuse all other work.
-	leastRateShare = 0.05
+	// minRateShare is the fraction of the engine's rate that a class is always assumed to
+	// get. Otherwise a short burst of urgent requests refuses all others.
+	minRateShare = 0.05
 )
 
-// hopeless returns why work that would wait for so long is refused at once.
+// admissionRefusal returns why a request that would have to wait for the expected time is
+// refused instead of queued, or ReasonNone if it may be queued.
 //
-// Load: a backlog beyond what the engine serves in time. Harm prevented: the
-// caller waits for an answer that will not come, instead of asking elsewhere
-// or later, and the queue holds work that is dropped in the end.
-func (q *Queue) hopeless(w Request, expected burdockclock.Millis) Reason {
+// With a backlog beyond what the engine serves in time, queueing everything makes callers
+// wait for answers that never come, and fills the queue with requests that are dropped in
+// the end. An immediate refusal lets the caller try another upstream or come back later.
+func (q *Queue) admissionRefusal(req Request, expected burdockclock.Millis) Reason {
 	if q.paused {
 		expected = 0
 	}
-	if w.Class > 0 {
-		expected = millisOf(overtakingMargin * float64(expected))
+	if req.Class > 0 {
+		expected = ceilMillis(overtakingMargin * float64(expected))
 	}
-	if !q.paused && w.Deadline > 0 && q.now+expected+q.serviceMillis(w) > w.Deadline {
-		return q.blame(w, ReasonDeadline)
+	if !q.paused && req.Deadline > 0 && q.now+expected+q.serviceMillis(req) > req.Deadline {
+		return q.attributeReason(req, ReasonDeadline)
 	}
-	bound := q.classes[w.Class].cfg.MaxWait
-	if bound > 0 && q.now+expected > w.Arrived+bound {
-		return q.blame(w, ReasonWaitExceeded)
+	maxWait := q.classes[req.Class].cfg.MaxWait
+	if maxWait > 0 && q.now+expected > req.Arrived+maxWait {
+		return q.attributeReason(req, ReasonWaitExceeded)
 	}
-	if q.crowding(w) {
+	if q.exceedsQueueShare(req) {
 		return ReasonOverShare
 	}
 	return ReasonNone
 }
 
-// blame returns ReasonOverShare in place of reason if the wait is due to the
-// customer's own backlog.
-func (q *Queue) blame(w Request, reason Reason) Reason {
-	c := q.classes[w.Class]
-	f, ok := c.flows[w.Customer]
-	if !ok || f.queued == 0 || len(c.byStart.items) < 2 {
+// attributeReason returns ReasonOverShare instead of reason if the wait is due to the
+// customer's own backlog: it has more than its share of its class's queued cost.
+func (q *Queue) attributeReason(req Request, reason Reason) Reason {
+	c := q.classes[req.Class]
+	f, ok := c.flows[req.Customer]
+	if !ok || f.queued == 0 || len(c.byStartTag.items) < 2 {
 		return reason
 	}
 	if float64(f.queuedCost)/float64(c.queuedCost) > f.weight/c.activeWeight {
@@ -60,32 +61,32 @@
 	return reason
 }
 
-// crowding reports whether the customer would hold more than its share of the
-// places in a queue that fills up.
-func (q *Queue) crowding(w Request) bool {
-	if float64(q.queued) < saturatedShare*float64(q.cfg.MaxQueued) {
+// exceedsQueueShare reports whether queueing req would give its customer more than its
+// share of MaxQueued while the queue is filling up.
+func (q *Queue) exceedsQueueShare(req Request) bool {
+	if float64(q.queued) < saturationThreshold*float64(q.cfg.MaxQueued) {
 		return false
 	}
-	c := q.classes[w.Class]
-	f, ok := c.flows[w.Customer]
+	c := q.classes[req.Class]
+	f, ok := c.flows[req.Customer]
 	if !ok || f.queued == 0 {
 		return false
 	}
-	places := float64(q.cfg.MaxQueued) * f.weight / c.activeWeight
-	return float64(f.queued+1) > max(places, 1)
+	maxQueued := float64(q.cfg.MaxQueued) * f.weight / c.activeWeight
+	return float64(f.queued+1) > max(maxQueued, 1)
 }
 
-// makeRoom returns ReasonNone if the queue has a place for w, and otherwise
-// takes one from the least urgent work that is furthest over its share.
+// makeRoom returns ReasonNone if req fits into the queue, if need be after displacing a
+// less urgent request or, within its class, one of a customer further over its share.
 //
-// Load: full saturation, the queue at its bound. Harm prevented: urgent work
-// is refused because less urgent work came first, or a small customer because
-// a large one did. The displaced work was not run and is told so at once.
-func (q *Queue) makeRoom(w Request) Reason {
+// This is for a saturated engine with a full queue: without it, urgent requests would be
+// refused because less urgent ones came first, and small customers because a large one
+// did. The displaced request was not run, and its caller learns that at once.
+func (q *Queue) makeRoom(req Request) Reason {
 	if q.queued < q.cfg.MaxQueued {
 		return ReasonNone
 	}
-	victim, ok := q.victimFor(w)
+	victim, ok := q.victimFor(req)
 	if !ok {
 		return ReasonQueueFull
 	}
@@ -93,41 +94,43 @@
 	return ReasonNone
 }
 
-func (q *Queue) victimFor(w Request) (*item, bool) {
-	for i := Class(len(q.classes) - 1); i > w.Class; i-- {
-		if it, ok := q.classes[i].last(); ok {
+func (q *Queue) victimFor(req Request) (*item, bool) {
+	for i := Class(len(q.classes) - 1); i > req.Class; i-- {
+		if it, ok := q.classes[i].evictionCandidate(); ok {
 			return it, true
 		}
 	}
-	c := q.classes[w.Class]
-	it, ok := c.last()
-	if !ok || it.work.Customer == w.Customer {
+	c := q.classes[req.Class]
+	it, ok := c.evictionCandidate()
+	if !ok || it.req.Customer == req.Customer {
 		return nil, false
 	}
-	weight := q.cfg.share(w.Customer)
-	tag := c.startTag(w.Customer, weight) + float64(charged(w.Cost))/weight
-	return it, tag < it.flow.tailTag()
+	weight := q.cfg.share(req.Customer)
+	tag := c.startTag(req.Customer, weight) + float64(chargedCost(req.Cost))/weight
+	return it, tag < it.flow.finishTag()
 }
 
-// deadlineLost reports whether the deadline could not be met by a start now.
-func (q *Queue) deadlineLost(w Request) bool {
-	if w.Deadline > 0 && q.paused {
-		return q.now > w.Deadline
+// missesDeadline reports whether req would miss its deadline even if it started now.
+// During a pause it only checks whether the deadline has passed.
+func (q *Queue) missesDeadline(req Request) bool {
+	if req.Deadline > 0 && q.paused {
+		return q.now > req.Deadline
 	}
-	return w.Deadline > 0 && q.now+q.serviceMillis(w) > w.Deadline
+	return req.Deadline > 0 && q.now+q.serviceMillis(req) > req.Deadline
 }
 
-// expectedWait returns how long w would wait if it were queued now: for the
-// next slot to come free, and for the queued work ahead of it.
-func (q *Queue) expectedWait(w Request) burdockclock.Millis {
+// expectedWait returns how long req would wait if it were queued now: the time until the
+// next slot is free, plus the time to serve the queued requests ahead of it. It is 0
+// while no rate is known.
+func (q *Queue) expectedWait(req Request) burdockclock.Millis {
 	if q.slotRate() <= 0 {
 		return 0
 	}
-	return q.running.nextEnd(q.now) + q.timeToServe(w.Class, q.aheadInClass(w))
+	return q.running.nextEnd(q.now) + q.timeToServe(req.Class, q.tokensAhead(req))
 }
 
-// timeToServe returns how long the class waits for all queued work that is more
-// urgent and for a number of its own tokens; 0 while no rate is known.
+// timeToServe returns how long it takes to serve all queued requests of more urgent
+// classes and then inClass tokens of this class; 0 while no rate is known.
 func (q *Queue) timeToServe(class Class, inClass float64) burdockclock.Millis {
 	rate := q.classRate(class)
 	if rate <= 0 {
@@ -137,23 +140,23 @@
 	for _, c := range q.classes[:class] {
 		ahead += float64(c.queuedCost)
 	}
-	return millisOf(ahead / rate)
+	return ceilMillis(ahead / rate)
 }
 
-// aheadInClass returns the tokens of the class that are served before w.
-func (q *Queue) aheadInClass(w Request) float64 {
-	c := q.classes[w.Class]
-	weight := q.cfg.share(w.Customer)
+// tokensAhead returns the queued tokens of the same class that are served before req.
+func (q *Queue) tokensAhead(req Request) float64 {
+	c := q.classes[req.Class]
+	weight := q.cfg.share(req.Customer)
 	active := c.activeWeight
-	if f, ok := c.flows[w.Customer]; !ok || f.queued == 0 {
+	if f, ok := c.flows[req.Customer]; !ok || f.queued == 0 {
 		active += weight
 	}
-	return c.tokensUntil(c.startTag(w.Customer, weight), active, c.queuedCost)
+	return c.tokensBeforeTag(c.startTag(req.Customer, weight), active, c.queuedCost)
 }
 
-// classRate returns the tokens a millisecond that are left to a class: after
-// what more urgent classes take or have kept for them, and after the starts
-// that the bound on starvation gives to the others.
+// classRate returns the service rate that is left for a class, in tokens per millisecond.
+// It deducts what more urgent classes use or have reserved, and the starts that
+// MaxStarvation guarantees to less urgent ones.
 func (q *Queue) classRate(class Class) float64 {
 	slot := q.slotRate()
 	total := slot * float64(q.cfg.Slots)
@@ -161,24 +164,24 @@
 	for i, c := range q.classes {
 		switch {
 		case Class(i) < class:
-			left -= max(c.starts.rate(q.now), slot*float64(c.cfg.ReservedSlots))
+			left -= max(c.startMeter.rate(q.now), slot*float64(c.cfg.ReservedSlots))
 		case Class(i) > class:
 			left -= c.starvationRate()
 		}
 	}
-	kept := slot * float64(min(q.classes[class].cfg.ReservedSlots, q.cfg.Slots))
-	return max(left, kept, total*leastRateShare)
+	reserved := slot * float64(min(q.classes[class].cfg.ReservedSlots, q.cfg.Slots))
+	return max(left, reserved, total*minRateShare)
 }
 
-// slotRate returns the tokens a millisecond that one slot serves; 0 is unknown.
+// slotRate returns the service rate of one slot in tokens per millisecond; 0 if unknown.
 func (q *Queue) slotRate() float64 { return q.service.rate(q.now) }
 
-// serviceMillis returns how long w would hold a slot, as its class does: short
-// answers are slower by the token than long ones.
-func (q *Queue) serviceMillis(w Request) burdockclock.Millis {
-	millis := q.classes[w.Class].service.millis(q.now, w.Cost)
+// serviceMillis returns how long req is expected to hold a slot. It prefers the rate of
+// its class, because short answers take more time per token than long ones.
+func (q *Queue) serviceMillis(req Request) burdockclock.Millis {
+	millis := q.classes[req.Class].service.millis(q.now, req.Cost)
 	if millis <= 0 {
-		millis = q.service.millis(q.now, w.Cost)
+		millis = q.service.millis(q.now, req.Cost)
 	}
-	return millisOf(millis)
+	return ceilMillis(millis)
 }
--- a/internal/decide/burdockqueue/bench_test.go
+++ b/internal/decide/burdockqueue/bench_test.go
@@ -10,14 +10,13 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// BenchmarkCycle measures one request's way through a queue that stays at a
-// given length: an offer that waits, the end of the oldest running request, and
-// the start of another.
+// BenchmarkCycle measures the handling of one request by a queue of constant length: an
+// offer that is queued, the end of the oldest running request, and the start of another.
 func BenchmarkCycle(b *testing.B) {
 	for _, length := range []int{16, 256, 4096, 65536} {
 		for _, customers := range []int{10, 3800} {
 			b.Run(fmt.Sprintf("queued=%d/customers=%d", length, customers), func(b *testing.B) {
-				c := newCycle(length, customers)
+				c := newSteadyQueue(length, customers)
 				b.ReportAllocs()
 				for b.Loop() {
 					c.step()
@@ -27,8 +26,8 @@
 	}
 }
 
-// cycle keeps a queue at a given length.
-type cycle struct {
+// steadyQueue keeps the length of a queue constant.
+type steadyQueue struct {
 	q         *Queue
 	rnd       *rand.Rand
 	customers []burdockid.Customer
@@ -37,9 +36,9 @@
 	n         int
 }
 
-func newCycle(length, customers int) *cycle {
+func newSteadyQueue(length, customers int) *steadyQueue {
 	const slots = 16
-	c := &cycle{
+	c := &steadyQueue{
 		q: New(Config{
 			Slots: slots, MaxQueued: 2 * length,
 			Classes: []ClassConfig{{ReservedSlots: 2}, {MaxStarvation: 5 * burdockclock.Second}, {MaxStarvation: 5 * burdockclock.Second}},
@@ -52,26 +51,26 @@
 	}
 	for c.q.Load().Queued < length {
 		c.offer()
-		c.take(c.q.Dispatch(c.now))
+		c.recordStarts(c.q.Dispatch(c.now))
 	}
 	return c
 }
 
-func (c *cycle) offer() {
+func (c *steadyQueue) offer() {
 	c.n++
-	w := Request{
+	req := Request{
 		ID:       burdockid.Request(strconv.Itoa(c.n)),
 		Customer: c.customers[c.rnd.IntN(len(c.customers))],
 		Class:    Class(c.rnd.IntN(3)),
 		Cost:     burdockid.Tokens(1 + c.rnd.IntN(4000)),
 		Deadline: c.now + 24*burdockclock.Hour,
 	}
-	if _, ok := c.q.Offer(c.now, w).(Start); ok {
-		c.running = append(c.running, w.ID)
+	if _, ok := c.q.Offer(c.now, req).(Start); ok {
+		c.running = append(c.running, req.ID)
 	}
 }
 
-func (c *cycle) take(events []Event) {
+func (c *steadyQueue) recordStarts(events []Event) {
 	for _, e := range events {
 		if started, ok := e.(Started); ok {
 			c.running = append(c.running, started.ID)
@@ -79,10 +78,10 @@
 	}
 }
 
-func (c *cycle) step() {
+func (c *steadyQueue) step() {
 	c.now++
 	c.offer()
 	c.q.Finish(c.now, c.running[0], 1000)
 	c.running = c.running[1:]
-	c.take(c.q.Dispatch(c.now))
+	c.recordStarts(c.q.Dispatch(c.now))
 }
--- a/internal/decide/burdockqueue/cases_test.go
+++ b/internal/decide/burdockqueue/cases_test.go
@@ -14,11 +14,11 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-var update = flag.Bool("update", false, "write the answers in the case files anew")
+var update = flag.Bool("update", false, "rewrite the answers in the case files")
 
-// Each file of testdata is a case: what the caller sees and why at its head,
-// then one call a line, "INSTANT CALL key=value ...", and under it the answers,
-// each after "->". The events of Dispatch stand under the call that they follow.
+// Each file in testdata is a test case. It begins with a comment on the expected behaviour,
+// followed by one call per line, "TIME CALL key=value ...". Each call is followed by its
+// answer and the events of the next Dispatch, each after "->".
 func TestCases(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
@@ -38,13 +38,13 @@
 				return
 			}
 			if got != string(want) {
-				t.Errorf("%s gives\n%s", file, got)
+				t.Errorf("answers of %s differ, got:\n%s", file, got)
 			}
 		})
 	}
 }
 
-// fields are the values of one line.
+// fields are the key=value pairs of one line.
 type fields map[string]string
 
 func (f fields) number(key string) int64 {
@@ -69,7 +69,7 @@
 	return words, values
 }
 
-// runCase returns the case with the answers that the queue gives.
+// runCase returns the text of the case with the actual answers of the queue.
 func runCase(t *testing.T, text string) string {
 	t.Helper()
 	var out strings.Builder
@@ -97,7 +97,7 @@
 		}
 		now, err := strconv.ParseInt(words[0], 10, 64)
 		if err != nil {
-			t.Fatalf("line %q: want an instant first", line)
+			t.Fatalf("line %q: want a time first", line)
 		}
 		call(t, &out, q, burdockclock.Millis(now), words[1], values, cfg)
 		q.CheckInvariants()
@@ -105,8 +105,8 @@
 	return out.String()
 }
 
-// setConfig takes one "set" line: the engine, the next class, or a share. The
-// line "set none" begins another profile.
+// setConfig applies one "set" line: the engine, the next class, or a share. The line
+// "set none" begins another configuration.
 func setConfig(cfg *Config, f fields) {
 	switch {
 	case f["class"] != "":
--- a/internal/decide/burdockqueue/config.go
+++ b/internal/decide/burdockqueue/config.go
@@ -5,39 +5,39 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// ClassConfig sets one priority class.
+// ClassConfig configures one priority class.
 type ClassConfig struct {
 	Name string
-	// MaxStarvation bounds how long the class has queued work without a start;
-	// 0 is no bound. The start comes with the first slot that is not kept for a
-	// more urgent class.
+	// MaxStarvation bounds how long the class may have queued requests without a start; 0
+	// means no bound. When it has passed, the class gets the next slot that is not
+	// reserved for a more urgent class.
 	MaxStarvation burdockclock.Millis
-	// MaxWait bounds the wait of each request; 0 is no bound.
+	// MaxWait bounds the wait of each request; 0 means no bound.
 	MaxWait burdockclock.Millis
-	// ReservedSlots are slots that less urgent classes may not take.
+	// ReservedSlots is the number of slots that less urgent classes may not use.
 	ReservedSlots int
 }
 
-// Config sets a queue.
+// Config configures a queue.
 type Config struct {
-	// Slots is how many requests the engine runs beside each other.
+	// Slots is the number of requests that the engine runs concurrently.
 	Slots int
-	// MaxQueued bounds how many requests wait.
+	// MaxQueued bounds the number of queued requests.
 	MaxQueued int
 	// Classes are the priority classes, the most urgent first.
 	Classes []ClassConfig
-	// Shares weigh customers against each other within a class.
+	// Shares are the relative weights of customers within a class.
 	Shares map[burdockid.Customer]float64
-	// DefaultShare is for customers that Shares does not name; 0 takes 1.
+	// DefaultShare is the weight of customers that are not in Shares; 0 means 1.
 	DefaultShare float64
-	// RetrySpread is the least span over which the refused come back; 0 takes
-	// one second.
+	// RetrySpread is the minimum interval over which retries of refused requests are
+	// spread; 0 means one second.
 	RetrySpread burdockclock.Millis
-	// MaxRetryAfter bounds every RetryAfter; 0 takes one minute.
+	// MaxRetryAfter bounds every RetryAfter; 0 means one minute.
 	MaxRetryAfter burdockclock.Millis
-	// InitialRate is the service rate of one slot in tokens a second that is
-	// believed until one has been measured; 0 is unknown, and then no work is
-	// refused for its deadline unless that has passed.
+	// InitialRate is the service rate of one slot, in tokens per second, that is assumed
+	// until one has been measured. 0 means unknown: no request is then refused for its
+	// deadline unless that has already passed.
 	InitialRate float64
 }
 
@@ -45,13 +45,13 @@
 	defaultShare         = 1.0
 	defaultRetrySpread   = burdockclock.Second
 	defaultMaxRetryAfter = burdockclock.Minute
-	// leastShare keeps a customer whose share is 0 from dividing by zero; it is
-	// served when nobody else in its class waits.
-	leastShare = 1e-6
-	mostShare  = 1e6
+	// minShare replaces a share of 0, which would divide by zero. Such a customer is
+	// served only when nobody else in its class is queued.
+	minShare = 1e-6
+	maxShare = 1e6
 )
 
-// withDefaults fills in what cfg leaves at zero.
+// withDefaults replaces zero values by their defaults.
 func (cfg Config) withDefaults() Config {
 	if len(cfg.Classes) == 0 {
 		cfg.Classes = []ClassConfig{{Name: "default"}}
@@ -68,14 +68,14 @@
 	return cfg
 }
 
-// share returns the weight of a customer, always above zero and finite.
+// share returns the weight of a customer, which is always positive and finite.
 func (cfg Config) share(customer burdockid.Customer) float64 {
 	share, ok := cfg.Shares[customer]
 	if !ok {
 		share = cfg.DefaultShare
 	}
-	if !(share > leastShare) { // also when it is not a number
-		return leastShare
+	if !(share > minShare) { // also true for NaN
+		return minShare
 	}
-	return min(share, mostShare)
+	return min(share, maxShare)
 }
--- a/internal/decide/burdockqueue/fair.go
+++ b/internal/decide/burdockqueue/fair.go
@@ -5,195 +5,199 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// fairQueue holds one class: start-time fair queueing by customer.
+// fairQueue is the queue of one class: start-time fair queueing by customer.
 //
-// Load: many customers of unequal size and requests of unequal length, all
-// backlogged. Harm prevented: a customer that sends many or long requests gets
-// more of the engine than its share. Between two customers that stay
-// backlogged, service over share differs by at most shareBound for each: every
-// start takes the least virtual time, and what a start was charged wrongly is
-// put right at its end, for at most as many requests as there are slots.
+// With many backlogged customers of unequal size and requests of unequal length, it
+// prevents a customer from getting more than its share of the engine by sending many or
+// long requests. The service over share of two backlogged customers differs by at most
+// shareBound for each of them: every start takes the lowest start tag, and a wrong cost
+// estimate is corrected when the request ends, so that at most as many requests as there
+// are slots are charged wrongly at a time.
 type fairQueue struct {
-	cfg     ClassConfig
-	flows   map[burdockid.Customer]*flow
-	byStart indexedHeap[*flow] // flows with queued work, least virtual time first
-	byTail  indexedHeap[*flow] // the same flows, the last to be served first
-	idle    indexedHeap[*flow] // flows kept only for what they were served ahead
+	cfg         ClassConfig
+	flows       map[burdockid.Customer]*flow
+	byStartTag  indexedHeap[*flow] // flows with queued requests, lowest virtual time first
+	byFinishTag indexedHeap[*flow] // the same flows, highest finish tag first
+	idle        indexedHeap[*flow] // flows with nothing queued or running
 
-	virtual      float64 // the greatest start tag so far
-	activeWeight float64 // of the flows with queued work
+	virtualTime  float64 // the highest start tag so far
+	activeWeight float64 // sum over the flows with queued requests
 	queued       int
 	queuedCost   burdockid.Tokens
 	running      int
-	// maxCharge and maxRunning are the greatest charge of one request and the
-	// most requests at a time since the class was last empty.
+	// maxCharge and maxRunning are the greatest cost charged for one request and the most
+	// requests running at a time since the class was last empty.
 	maxCharge  burdockid.Tokens
 	maxRunning int
-	// waitingSince is the last start, or the arrival of the first queued work
-	// if that is later.
+	// waitingSince is the time of the last start or, if later, of the arrival of the
+	// first queued request.
 	waitingSince burdockclock.Millis
 
-	service serviceTime
-	starts  meter
+	service    serviceEstimator
+	startMeter meter
 }
 
 func newFairQueue(cfg ClassConfig) *fairQueue {
 	return &fairQueue{
 		cfg:   cfg,
 		flows: make(map[burdockid.Customer]*flow),
-		byStart: indexedHeap[*flow]{
+		byStartTag: indexedHeap[*flow]{
 			less: func(a, b *flow) bool {
-				if a.virtual != b.virtual {
-					return a.virtual < b.virtual
+				if a.virtualTime != b.virtualTime {
+					return a.virtualTime < b.virtualTime
 				}
 				return a.customer < b.customer
 			},
-			index: func(f *flow) *int { return &f.startIndex },
+			index: func(f *flow) *int { return &f.startTagIndex },
 		},
-		byTail: indexedHeap[*flow]{
+		byFinishTag: indexedHeap[*flow]{
 			less: func(a, b *flow) bool {
-				if x, y := a.tailTag(), b.tailTag(); x != y {
+				if x, y := a.finishTag(), b.finishTag(); x != y {
 					return x > y
 				}
 				return a.customer > b.customer
 			},
-			index: func(f *flow) *int { return &f.tailIndex },
+			index: func(f *flow) *int { return &f.finishTagIndex },
 		},
 		idle: indexedHeap[*flow]{
-			less:  func(a, b *flow) bool { return a.virtual < b.virtual },
+			less:  func(a, b *flow) bool { return a.virtualTime < b.virtualTime },
 			index: func(f *flow) *int { return &f.idleIndex },
 		},
 	}
 }
 
-// flow returns the customer's flow, a new one if it has none.
+// flow returns the customer's flow and creates it if necessary.
 func (c *fairQueue) flow(customer burdockid.Customer, weight float64) *flow {
 	f, ok := c.flows[customer]
 	if !ok {
-		f = newFlow(customer, weight, c.virtual)
+		f = newFlow(customer, weight, c.virtualTime)
 		c.flows[customer] = f
 	}
 	return f
 }
 
-// startTag is the virtual time at which the customer's next work would start.
+// startTag returns the start tag that the customer's next request would get: the virtual
+// time at which it starts.
 func (c *fairQueue) startTag(customer burdockid.Customer, weight float64) float64 {
 	f, ok := c.flows[customer]
 	if !ok {
-		return c.virtual
+		return c.virtualTime
 	}
 	if f.queued == 0 {
-		return max(f.virtual, c.virtual)
+		return max(f.virtualTime, c.virtualTime)
 	}
-	return f.virtual + float64(f.queuedCost)/weight
+	return f.virtualTime + float64(f.queuedCost)/weight
 }
 
 func (c *fairQueue) push(now burdockclock.Millis, it *item, weight float64) {
-	f := c.flow(it.work.Customer, weight)
+	f := c.flow(it.req.Customer, weight)
 	it.flow = f
 	if c.queued == 0 {
 		c.waitingSince = now
 	}
 	if f.queued == 0 {
 		c.idle.remove(f)
-		// A customer that comes back has no claim on the time it was away;
-		// without this it could hold up all others until it had caught up.
-		f.virtual = max(f.virtual, c.virtual)
+		// A returning customer gets no credit for the time it had nothing queued.
+		// Otherwise it would block all others until it had caught up.
+		f.virtualTime = max(f.virtualTime, c.virtualTime)
 		f.append(it)
 		c.activeWeight += f.weight
-		c.byStart.add(f)
-		c.byTail.add(f)
+		c.byStartTag.add(f)
+		c.byFinishTag.add(f)
 	} else {
 		f.append(it)
-		c.byTail.fix(f)
+		c.byFinishTag.fix(f)
 	}
 	c.queued++
-	c.queuedCost += charged(it.work.Cost)
+	c.queuedCost += chargedCost(it.req.Cost)
 }
 
-// remove takes queued work out without charging for it.
+// remove removes a queued request without charging for it.
 func (c *fairQueue) remove(it *item) {
 	f := it.flow
 	f.unlink(it)
 	c.queued--
-	c.queuedCost -= charged(it.work.Cost)
+	c.queuedCost -= chargedCost(it.req.Cost)
 	if f.queued > 0 {
-		c.byTail.fix(f)
+		c.byFinishTag.fix(f)
 		return
 	}
-	c.byStart.remove(f)
-	c.byTail.remove(f)
+	c.byStartTag.remove(f)
+	c.byFinishTag.remove(f)
 	c.activeWeight -= f.weight
-	if len(c.byStart.items) == 0 {
-		c.activeWeight = 0 // leaves no rounding errors behind
+	if len(c.byStartTag.items) == 0 {
+		c.activeWeight = 0 // clears accumulated rounding errors
 	}
-	c.settle(f)
+	c.trackIdle(f)
 }
 
-// charge accounts for the start of work of f, which may be queued or not.
+// charge records the start of a request of f, whether or not f has others queued.
 func (c *fairQueue) charge(now burdockclock.Millis, f *flow, cost burdockid.Tokens) {
-	start := f.virtual
+	start := f.virtualTime
 	if f.queued == 0 {
-		start = max(start, c.virtual)
+		start = max(start, c.virtualTime)
 		c.idle.remove(f)
 	}
-	c.virtual = max(c.virtual, start)
-	f.virtual = start + f.inVirtual(charged(cost))
+	c.virtualTime = max(c.virtualTime, start)
+	f.virtualTime = start + f.toVirtualTime(chargedCost(cost))
 	f.running++
-	c.occupy(cost)
+	c.countRunning(cost)
 	c.waitingSince = now
-	c.starts.add(now, float64(charged(cost)))
-	c.refile(f)
-	c.forget()
+	c.startMeter.add(now, float64(chargedCost(cost)))
+	c.fixHeaps(f)
+	c.pruneIdle()
 }
 
-// occupy counts running work of a cost.
-func (c *fairQueue) occupy(cost burdockid.Tokens) {
+// countRunning records one more running request of the given cost.
+func (c *fairQueue) countRunning(cost burdockid.Tokens) {
 	c.running++
 	c.maxRunning = max(c.maxRunning, c.running)
-	c.maxCharge = max(c.maxCharge, charged(cost))
+	c.maxCharge = max(c.maxCharge, chargedCost(cost))
 }
 
-// release ends running work of f and corrects its charge to what was served.
+// release records the end of a running request of f and corrects its charge to the tokens
+// served.
 func (c *fairQueue) release(f *flow, cost, served burdockid.Tokens) {
 	f.running--
 	c.running--
 	c.maxCharge = max(c.maxCharge, served)
-	f.virtual += f.inVirtual(served - charged(cost))
-	c.refile(f)
-	c.settle(f)
-	c.forget()
+	f.virtualTime += f.toVirtualTime(served - chargedCost(cost))
+	c.fixHeaps(f)
+	c.trackIdle(f)
+	c.pruneIdle()
 }
 
-func (c *fairQueue) refile(f *flow) {
+func (c *fairQueue) fixHeaps(f *flow) {
 	if f.queued > 0 {
-		c.byStart.fix(f)
-		c.byTail.fix(f)
+		c.byStartTag.fix(f)
+		c.byFinishTag.fix(f)
 	}
 }
 
-// settle files a flow that has nothing queued or running: what it was served
-// ahead of the others must be remembered, or it would be forgiven by a pause.
-func (c *fairQueue) settle(f *flow) {
+// trackIdle adds f to the idle flows if it has nothing queued or running. A flow that was
+// served more than its share is kept until the others have caught up; otherwise a short
+// pause would clear its excess.
+func (c *fairQueue) trackIdle(f *flow) {
 	if f.queued > 0 || f.running > 0 || f.idleIndex != notInHeap {
 		return
 	}
 	c.idle.add(f)
 }
 
-// forget drops idle flows that are ahead of nobody, which bounds memory by the
-// customers of the last few rounds instead of all that ever came.
-func (c *fairQueue) forget() {
+// pruneIdle deletes the idle flows that are not ahead of the class's virtual time. It
+// bounds the memory by recently active customers instead of all that ever sent a request.
+func (c *fairQueue) pruneIdle() {
 	if c.queued == 0 && c.running == 0 {
-		// The end of a busy period: nobody waits, so nobody is owed anything.
+		// The end of a busy period: nothing is queued or running, so all accounts start
+		// afresh.
 		clear(c.flows)
 		c.idle.items = nil
-		c.virtual, c.maxCharge, c.maxRunning = 0, 0, 0
+		c.virtualTime, c.maxCharge, c.maxRunning = 0, 0, 0
 		return
 	}
 	for {
 		f, ok := c.idle.first()
-		if !ok || f.virtual > c.virtual {
+		if !ok || f.virtualTime > c.virtualTime {
 			return
 		}
 		c.idle.remove(f)
@@ -201,41 +205,41 @@
 	}
 }
 
-// next returns the work whose turn it is.
+// next returns the request to start next.
 func (c *fairQueue) next() (*item, bool) {
-	f, ok := c.byStart.first()
+	f, ok := c.byStartTag.first()
 	if !ok {
 		return nil, false
 	}
 	return f.head, true
 }
 
-// last returns the newest work of the customer furthest over its share.
-func (c *fairQueue) last() (*item, bool) {
-	f, ok := c.byTail.first()
+// evictionCandidate returns the newest request of the customer furthest over its share.
+func (c *fairQueue) evictionCandidate() (*item, bool) {
+	f, ok := c.byFinishTag.first()
 	if !ok {
 		return nil, false
 	}
 	return f.tail, true
 }
 
-// tokensUntil returns the queued tokens that are served before virtual time
-// reaches a tag: meanwhile each backlogged customer is served its weight times
-// the span, and together no more than the others have queued.
-func (c *fairQueue) tokensUntil(tag, activeWeight float64, others burdockid.Tokens) float64 {
-	return min(max(tag-c.virtual, 0)*activeWeight, float64(others))
+// tokensBeforeTag returns how many of the queued tokens are served before the virtual
+// time reaches tag. Until then each backlogged customer is served its weight times the
+// remaining virtual time, and all together at most what is queued.
+func (c *fairQueue) tokensBeforeTag(tag, activeWeight float64, queued burdockid.Tokens) float64 {
+	return min(max(tag-c.virtualTime, 0)*activeWeight, float64(queued))
 }
 
-// dueAt returns the instant at which the class must get a start.
-func (c *fairQueue) dueAt() burdockclock.Millis {
+// starvationDeadline returns the time at which the class must get a start, or never.
+func (c *fairQueue) starvationDeadline() burdockclock.Millis {
 	if c.queued == 0 || c.cfg.MaxStarvation <= 0 {
 		return never
 	}
 	return c.waitingSince + c.cfg.MaxStarvation
 }
 
-// starvationRate returns the tokens a millisecond that the bound on starvation
-// gives to the class at the least.
+// starvationRate returns the minimum service rate that MaxStarvation guarantees to the
+// class, in tokens per millisecond.
 func (c *fairQueue) starvationRate() float64 {
 	if c.queued == 0 || c.cfg.MaxStarvation <= 0 {
 		return 0
@@ -244,33 +248,34 @@
 	return mean / float64(c.cfg.MaxStarvation)
 }
 
-// shareBound is how far in tokens a backlogged customer may be from its share:
-// as many requests as ran beside each other, each of the greatest charge.
+// shareBound returns how far a backlogged customer may deviate from its share, in tokens:
+// the most requests that ran concurrently, each with the greatest charge.
 func (c *fairQueue) shareBound() float64 {
 	return float64(max(c.maxRunning, 1)) * float64(c.maxCharge)
 }
 
-// reweigh takes over new shares. What a flow is ahead or behind in tokens stays.
-func (c *fairQueue) reweigh(share func(burdockid.Customer) float64) {
+// updateWeights applies new shares. Each flow stays ahead or behind by the same number of
+// tokens.
+func (c *fairQueue) updateWeights(share func(burdockid.Customer) float64) {
 	c.activeWeight = 0
 	for _, f := range c.flows {
 		weight := share(f.customer)
-		f.virtual = c.virtual + (f.virtual-c.virtual)*f.weight/weight
+		f.virtualTime = c.virtualTime + (f.virtualTime-c.virtualTime)*f.weight/weight
 		f.weight = weight
 		if f.queued > 0 {
 			c.activeWeight += weight
 		}
 	}
-	c.byStart.rebuild()
-	c.byTail.rebuild()
+	c.byStartTag.rebuild()
+	c.byFinishTag.rebuild()
 	c.idle.rebuild()
 }
 
-// inOrder returns all queued work, each customer's oldest first. It is for a
-// change of profile and for checks; its cost grows with the queue.
-func (c *fairQueue) inOrder() []*item {
+// snapshot returns all queued requests, the oldest of each customer first. Its cost
+// grows with the queue; it is used only when the configuration changes.
+func (c *fairQueue) snapshot() []*item {
 	var items []*item
-	for _, f := range c.byStart.items {
+	for _, f := range c.byStartTag.items {
 		for it := f.head; it != nil; it = it.next {
 			items = append(items, it)
 		}
@@ -278,11 +283,11 @@
 	return items
 }
 
-// adopt takes over running work of a class that is gone.
-func (c *fairQueue) adopt(it *item, weight float64) *flow {
-	f := c.flow(it.work.Customer, weight)
+// adoptRunning adds a running request of a class that was removed.
+func (c *fairQueue) adoptRunning(it *item, weight float64) *flow {
+	f := c.flow(it.req.Customer, weight)
 	c.idle.remove(f)
 	f.running++
-	c.occupy(it.work.Cost)
+	c.countRunning(it.req.Cost)
 	return f
 }
--- a/internal/decide/burdockqueue/flow.go
+++ b/internal/decide/burdockqueue/flow.go
@@ -4,50 +4,50 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// flow is one customer's work in one class.
+// flow holds the requests of one customer in one class.
 type flow struct {
 	customer burdockid.Customer
 	weight   float64
-	// virtual is the start tag of the flow's next work: service so far in
+	// virtualTime is the start tag of the flow's next request: the service so far in
 	// tokens over weight.
-	virtual    float64
-	head, tail *item // queued work, oldest first
-	queued     int
-	queuedCost burdockid.Tokens
-	running    int
-	// departed is the cost of all work that has left the flow's queue.
-	departed burdockid.Tokens
+	virtualTime float64
+	head, tail  *item // queued requests, oldest first
+	queued      int
+	queuedCost  burdockid.Tokens
+	running     int
+	// dequeuedCost is the total cost of the requests that have left the flow's queue.
+	dequeuedCost burdockid.Tokens
 
-	startIndex, tailIndex, idleIndex int
+	startTagIndex, finishTagIndex, idleIndex int
 }
 
-func newFlow(customer burdockid.Customer, weight, virtual float64) *flow {
+func newFlow(customer burdockid.Customer, weight, virtualTime float64) *flow {
 	return &flow{
-		customer:   customer,
-		weight:     weight,
-		virtual:    virtual,
-		startIndex: notInHeap,
-		tailIndex:  notInHeap,
-		idleIndex:  notInHeap,
+		customer:       customer,
+		weight:         weight,
+		virtualTime:    virtualTime,
+		startTagIndex:  notInHeap,
+		finishTagIndex: notInHeap,
+		idleIndex:      notInHeap,
 	}
 }
 
-// tailTag is the virtual time at which all queued work of f would be served.
-func (f *flow) tailTag() float64 {
-	return f.virtual + f.inVirtual(f.queuedCost)
+// finishTag returns the virtual time at which everything queued in f has been served.
+func (f *flow) finishTag() float64 {
+	return f.virtualTime + f.toVirtualTime(f.queuedCost)
 }
 
-// inVirtual converts tokens to the flow's virtual time.
-func (f *flow) inVirtual(tokens burdockid.Tokens) float64 {
+// toVirtualTime converts tokens to virtual time of this flow.
+func (f *flow) toVirtualTime(tokens burdockid.Tokens) float64 {
 	return float64(tokens) / f.weight
 }
 
-// charged is what work of this cost adds to the accounts. Free work would let
-// one customer start without bound, so each request counts as a token at least.
-func charged(cost burdockid.Tokens) burdockid.Tokens { return max(cost, 1) }
+// chargedCost returns the cost used for accounting, which is at least one token. With a
+// cost of 0 a customer could start any number of requests.
+func chargedCost(cost burdockid.Tokens) burdockid.Tokens { return max(cost, 1) }
 
 func (f *flow) append(it *item) {
-	it.ahead = f.departed + f.queuedCost
+	it.costOffset = f.dequeuedCost + f.queuedCost
 	it.prev, it.next = f.tail, nil
 	if f.tail == nil {
 		f.head = it
@@ -56,7 +56,7 @@
 	}
 	f.tail = it
 	f.queued++
-	f.queuedCost += charged(it.work.Cost)
+	f.queuedCost += chargedCost(it.req.Cost)
 }
 
 func (f *flow) unlink(it *item) {
@@ -72,12 +72,13 @@
 	}
 	it.prev, it.next = nil, nil
 	f.queued--
-	f.queuedCost -= charged(it.work.Cost)
-	f.departed += charged(it.work.Cost)
+	f.queuedCost -= chargedCost(it.req.Cost)
+	f.dequeuedCost += chargedCost(it.req.Cost)
 }
 
-// startTag is the virtual time at which queued work starts, at the latest: work
-// behind it that was cancelled counts as if it had been before it.
+// startTag returns the virtual time at which a queued request starts. Cost that was
+// cancelled behind the request is deducted as if it had been ahead of it, so the tag may
+// be too low.
 func (f *flow) startTag(it *item) float64 {
-	return f.virtual + f.inVirtual(max(it.ahead-f.departed, 0))
+	return f.virtualTime + f.toVirtualTime(max(it.costOffset-f.dequeuedCost, 0))
 }
--- a/internal/decide/burdockqueue/heap.go
+++ b/internal/decide/burdockqueue/heap.go
@@ -2,11 +2,11 @@
 
 import "container/heap"
 
-// notInHeap marks an element that its heap does not hold.
+// notInHeap is the index of an element that is not in the heap.
 const notInHeap = -1
 
-// indexedHeap is a binary heap whose elements know their place, so that one in
-// the middle is removed or moved in logarithmic time.
+// indexedHeap is a binary heap whose elements store their index, so that any element can
+// be removed or moved in logarithmic time.
 type indexedHeap[T any] struct {
 	items []T
 	less  func(a, b T) bool
@@ -62,11 +62,10 @@
 	return h.items[0], true
 }
 
-// rebuild restores the order after elements have changed.
+// rebuild restores the heap order after elements have changed.
 func (h *indexedHeap[T]) rebuild() { heap.Init(h) }
 
-// ordered reports whether the heap's order holds and each element knows its
-// place.
+// ordered reports whether the heap order holds and each element stores its own index.
 func (h *indexedHeap[T]) ordered() bool {
 	for i, item := range h.items {
 		if *h.index(item) != i || (i > 0 && h.less(item, h.items[(i-1)/2])) {
--- a/internal/decide/burdockqueue/invariant.go
+++ b/internal/decide/burdockqueue/invariant.go
@@ -6,29 +6,29 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// Invariant names a promise of the queue that is asserted while it runs.
+// Invariant names a property of the queue that is checked at run time.
 type Invariant string
 
 // The invariants.
 const (
-	// InvariantCounts: each offer is refused, dropped, cancelled, finished,
-	// queued or running, exactly one of them, and the sums agree.
+	// InvariantCounts: each offered request is exactly one of refused, dropped,
+	// cancelled, finished, queued or running, and the sums agree.
 	InvariantCounts Invariant = "counts add up"
-	// InvariantMembership: no request is in two places and none in no place.
+	// InvariantMembership: each request is in exactly one of the queue's containers.
 	InvariantMembership Invariant = "one place for each request"
-	// InvariantOrder: no class is started before a more urgent one that could
-	// start, unless its bound on starvation has passed.
+	// InvariantOrder: no class gets a start before a more urgent one that could start,
+	// unless its MaxStarvation has passed.
 	InvariantOrder Invariant = "no priority inversion"
-	// InvariantShare: no backlogged customer is further from its share than the
+	// InvariantShare: no backlogged customer deviates from its share by more than the
 	// bound of its class.
 	InvariantShare Invariant = "shares kept"
-	// InvariantWorkConserving: no slot is left free that queued work may take, and no
-	// queued work has expired.
+	// InvariantWorkConserving: after Dispatch, no slot is free that a queued request may
+	// use, and no queued request has expired.
 	InvariantWorkConserving Invariant = "nothing due is left"
 )
 
-// InvariantError is the value of the panic when an invariant is broken. The
-// queue's accounts are then wrong, so that its further decisions would be too.
+// InvariantError is the panic value for a violated invariant. The accounts are wrong at
+// that point, and so would be all further decisions.
 type InvariantError struct {
 	Invariant Invariant
 	Detail    string
@@ -39,14 +39,14 @@
 	return fmt.Sprintf("burdockqueue: invariant broken: %s: %s", e.Invariant, e.Detail)
 }
 
-func broken(invariant Invariant, format string, args ...any) {
+func failInvariant(invariant Invariant, format string, args ...any) {
 	panic(&InvariantError{Invariant: invariant, Detail: fmt.Sprintf(format, args...)})
 }
 
-// shareSlack allows for rounding in virtual times, as a part of their size.
-const shareSlack = 1e-9
+// shareTolerance allows for rounding errors, as a fraction of the virtual time.
+const shareTolerance = 1e-9
 
-// checkCounts compares all sums. Its cost grows with the classes only.
+// checkCounts compares all sums. Its cost depends only on the number of classes.
 func (q *Queue) checkCounts() {
 	queued, running, cost := 0, 0, burdockid.Tokens(0)
 	for _, c := range q.classes {
@@ -55,66 +55,65 @@
 		cost += c.queuedCost
 	}
 	if queued != q.queued || cost != q.queuedCost || len(q.expiry.items) != q.queued {
-		broken(InvariantCounts, "classes queue %d of cost %d, the queue %d of cost %d, %d may expire",
+		failInvariant(InvariantCounts, "classes have %d queued with cost %d, the queue has %d with cost %d and %d in the expiry heap",
 			queued, cost, q.queued, q.queuedCost, len(q.expiry.items))
 	}
 	if running != q.running.len() || len(q.items) != queued+running {
-		broken(InvariantCounts, "classes run %d, the engine %d; %d known, %d queued",
+		failInvariant(InvariantCounts, "classes have %d running, the engine %d; %d items, %d queued",
 			running, q.running.len(), len(q.items), queued)
 	}
 	ended := q.counts.refused.total() + q.counts.dropped.total() + q.counts.cancelled + q.counts.finished
 	if q.counts.offered != ended+uint64(len(q.items)) {
-		broken(InvariantCounts, "%d offered, %d ended, %d here", q.counts.offered, ended, len(q.items))
+		failInvariant(InvariantCounts, "%d offered, %d ended, %d present", q.counts.offered, ended, len(q.items))
 	}
 }
 
-// checkNothingDue is for the end of Dispatch.
-func (q *Queue) checkNothingDue() {
+// checkWorkConserving is called at the end of Dispatch.
+func (q *Queue) checkWorkConserving() {
 	if class, ok := q.pickClass(); ok {
-		broken(InvariantWorkConserving, "class %d has queued work and a free slot", class)
+		failInvariant(InvariantWorkConserving, "class %d has queued requests and a free slot", class)
 	}
-	if it, ok := q.expiry.first(); ok && it.judgeAt <= q.now {
-		broken(InvariantWorkConserving, "%s was to be judged at %d, now is %d", it.work.ID, it.judgeAt, q.now)
+	if it, ok := q.expiry.first(); ok && it.recheckAt <= q.now {
+		failInvariant(InvariantWorkConserving, "%s was due for a recheck at %d, now is %d", it.req.ID, it.recheckAt, q.now)
 	}
 }
 
-// checkOrder is for right before a start of queued work of a class.
+// checkOrder is called right before a queued request of the class is started.
 func (q *Queue) checkOrder(class Class) {
-	overdue := q.classes[class].dueAt() <= q.now
+	starved := q.classes[class].starvationDeadline() <= q.now
 	for i, c := range q.classes {
 		if c.queued == 0 || Class(i) == class || !q.mayStart(Class(i)) {
 			continue
 		}
-		if Class(i) < class && !overdue {
-			broken(InvariantOrder, "class %d starts before %d, which has %d queued", class, i, c.queued)
+		if Class(i) < class && !starved {
+			failInvariant(InvariantOrder, "class %d starts before %d, which has %d queued", class, i, c.queued)
 		}
-		if c.dueAt() <= q.now && (!overdue || q.classes[class].dueAt() > c.dueAt()) {
-			broken(InvariantOrder, "class %d starts before %d, due since %d", class, i, c.dueAt())
+		if c.starvationDeadline() <= q.now && (!starved || q.classes[class].starvationDeadline() > c.starvationDeadline()) {
+			failInvariant(InvariantOrder, "class %d starts before %d, which is overdue since %d", class, i, c.starvationDeadline())
 		}
 	}
 	if q.running.len() >= q.cfg.Slots {
-		broken(InvariantOrder, "class %d starts with %d of %d slots taken", class, q.running.len(), q.cfg.Slots)
+		failInvariant(InvariantOrder, "class %d starts with %d of %d slots taken", class, q.running.len(), q.cfg.Slots)
 	}
 }
 
-// checkShare is for a flow that has queued work.
+// checkShare checks the share of a flow that has queued requests.
 func (q *Queue) checkShare(f *flow, class Class) {
 	c := q.classes[class]
 	if f.queued == 0 {
 		return
 	}
-	off := (f.virtual - c.virtual) * f.weight
-	bound := c.shareBound() + shareSlack*max(f.virtual, -f.virtual)*f.weight
-	if off > bound || off < -bound {
-		broken(InvariantShare, "customer %s of class %d is off by %.0f tokens, bound %.0f",
-			f.customer, class, off, bound)
+	deviation := (f.virtualTime - c.virtualTime) * f.weight
+	bound := c.shareBound() + shareTolerance*max(f.virtualTime, -f.virtualTime)*f.weight
+	if deviation > bound || deviation < -bound {
+		failInvariant(InvariantShare, "customer %s of class %d deviates by %.0f tokens from its share, bound %.0f",
+			f.customer, class, deviation, bound)
 	}
 }
 
-// CheckInvariants asserts every invariant on every request and panics with an
-// *InvariantError if one is broken. Its cost grows with the length of the
-// queue: it is for tests and randomised runs. The cheap part runs in each call
-// of Dispatch.
+// CheckInvariants checks every invariant for every request and panics with an
+// *InvariantError if one is violated. Its cost grows with the length of the queue, so it
+// is meant for tests and randomised runs; Dispatch always runs the cheap checks.
 func (q *Queue) CheckInvariants() {
 	q.checkCounts()
 	seen := 0
@@ -122,53 +121,53 @@
 		seen += q.checkClass(Class(i), c)
 	}
 	if !q.expiry.ordered() || !q.running.byEnd.ordered() {
-		broken(InvariantMembership, "expiry or ends are out of order")
+		failInvariant(InvariantMembership, "expiry or running heap is out of order")
 	}
 	for _, it := range q.running.byEnd.items {
-		if it.place != placeRunning || q.items[it.work.ID] != it {
-			broken(InvariantMembership, "%s is running, but filed elsewhere", it.work.ID)
+		if it.phase != phaseRunning || q.items[it.req.ID] != it {
+			failInvariant(InvariantMembership, "%s is in the running heap, but its phase or registration differs", it.req.ID)
 		}
 		if it.expiryIndex != notInHeap {
-			broken(InvariantMembership, "%s is running and may expire", it.work.ID)
+			failInvariant(InvariantMembership, "%s is running and in the expiry heap", it.req.ID)
 		}
 		seen++
 	}
 	if seen != len(q.items) {
-		broken(InvariantMembership, "%d found in their places, %d known", seen, len(q.items))
+		failInvariant(InvariantMembership, "%d found in the containers, %d items", seen, len(q.items))
 	}
 }
 
-// checkClass checks one class and returns how many requests it queues.
+// checkClass checks one class and returns the number of its queued requests.
 func (q *Queue) checkClass(class Class, c *fairQueue) int {
 	seen := 0
-	for _, f := range c.byStart.items {
+	for _, f := range c.byStartTag.items {
 		inFlow := 0
 		cost := burdockid.Tokens(0)
 		for it := f.head; it != nil; it = it.next {
-			if it.place != placeQueued || it.flow != f || q.items[it.work.ID] != it || it.work.Class != class {
-				broken(InvariantMembership, "%s is queued, but filed elsewhere", it.work.ID)
+			if it.phase != phaseQueued || it.flow != f || q.items[it.req.ID] != it || it.req.Class != class {
+				failInvariant(InvariantMembership, "%s is queued, but its phase, flow, class or registration differs", it.req.ID)
 			}
 			if it.expiryIndex == notInHeap || q.expiry.items[it.expiryIndex] != it {
-				broken(InvariantMembership, "%s is queued and never expires", it.work.ID)
+				failInvariant(InvariantMembership, "%s is queued and not in the expiry heap", it.req.ID)
 			}
-			if it.judgeAt > it.expires {
-				broken(InvariantMembership, "%s expires at %d and is judged only at %d", it.work.ID, it.expires, it.judgeAt)
+			if it.recheckAt > it.expiresAt {
+				failInvariant(InvariantMembership, "%s expires at %d, but is rechecked only at %d", it.req.ID, it.expiresAt, it.recheckAt)
 			}
 			inFlow++
-			cost += charged(it.work.Cost)
+			cost += chargedCost(it.req.Cost)
 		}
 		if inFlow != f.queued || cost != f.queuedCost || c.flows[f.customer] != f {
-			broken(InvariantCounts, "customer %s holds %d of cost %d, counted %d of cost %d",
+			failInvariant(InvariantCounts, "customer %s has %d queued with cost %d, counted %d with cost %d",
 				f.customer, inFlow, cost, f.queued, f.queuedCost)
 		}
 		q.checkShare(f, class)
 		seen += inFlow
 	}
-	if !c.byStart.ordered() || !c.byTail.ordered() || !c.idle.ordered() {
-		broken(InvariantMembership, "customers of class %d are out of order", class)
+	if !c.byStartTag.ordered() || !c.byFinishTag.ordered() || !c.idle.ordered() {
+		failInvariant(InvariantMembership, "a customer heap of class %d is out of order", class)
 	}
-	if seen != c.queued || len(c.byTail.items) != len(c.byStart.items) {
-		broken(InvariantCounts, "class %d holds %d, counted %d", class, seen, c.queued)
+	if seen != c.queued || len(c.byFinishTag.items) != len(c.byStartTag.items) {
+		failInvariant(InvariantCounts, "class %d has %d queued, counted %d", class, seen, c.queued)
 	}
 	return seen
 }
--- a/internal/decide/burdockqueue/load.go
+++ b/internal/decide/burdockqueue/load.go
@@ -5,18 +5,18 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// Load is what entries are told with every answer.
+// Load is the load that is reported to entries with every answer.
 type Load struct {
 	Running    int              `json:"running"`
 	Queued     int              `json:"queued"`
 	QueuedCost burdockid.Tokens `json:"queuedCost"`
 	Slots      int              `json:"slots"`
-	// ExpectedWait is the time to serve all that is queued and to the next free
-	// slot; 0 while a slot is free.
+	// ExpectedWait is the time until the next slot is free plus the time to serve
+	// everything queued; 0 while a slot is free.
 	ExpectedWait burdockclock.Millis `json:"expectedWait"`
 }
 
-// Load returns the present load.
+// Load returns the current load.
 func (q *Queue) Load() Load {
 	return Load{
 		Running:      q.running.len(),
@@ -32,17 +32,17 @@
 	if rate <= 0 || q.running.len() < q.cfg.Slots {
 		return 0
 	}
-	return q.running.nextEnd(q.now) + millisOf(float64(q.queuedCost)/rate)
+	return q.running.nextEnd(q.now) + ceilMillis(float64(q.queuedCost)/rate)
 }
 
-// servedSoFar estimates what running work has been served when it is cancelled.
-// The queue is not told, and charging nothing would let a customer use the
-// engine for free by hanging up.
-func (q *Queue) servedSoFar(it *item) burdockid.Tokens {
-	whole := charged(it.work.Cost)
+// estimateServed estimates how many tokens a running request has been served when it is
+// cancelled, since the queue isn't notified of progress. Charging nothing would let a
+// customer use the engine for free by closing the connection early.
+func (q *Queue) estimateServed(it *item) burdockid.Tokens {
+	fullCost := chargedCost(it.req.Cost)
 	rate := q.slotRate()
 	if rate <= 0 {
-		return whole
+		return fullCost
 	}
-	return min(whole, burdockid.Tokens(rate*float64(q.now-it.started)))
+	return min(fullCost, burdockid.Tokens(rate*float64(q.now-it.started)))
 }
--- a/internal/decide/burdockqueue/machine_test.go
+++ b/internal/decide/burdockqueue/machine_test.go
@@ -12,7 +12,7 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// model is what a caller knows: each request is in at most one of the sets,
+// model is the state that a caller can derive: each request is in at most one of the sets
 // and ends exactly once.
 type model struct {
 	queued, running map[burdockid.Request]bool
@@ -24,16 +24,16 @@
 		switch e := e.(type) {
 		case Started:
 			if !m.queued[e.ID] {
-				t.Fatalf("Started{%s}, want only queued work started", e.ID)
+				t.Fatalf("Started{%s}, want only queued requests started", e.ID)
 			}
 			delete(m.queued, e.ID)
 			m.running[e.ID] = true
 		case Dropped:
 			if !m.queued[e.ID] {
-				t.Fatalf("Dropped{%s}, want only queued work dropped", e.ID)
+				t.Fatalf("Dropped{%s}, want only queued requests dropped", e.ID)
 			}
 			if e.Reason == ReasonNone || e.RetryAfter <= 0 {
-				t.Fatalf("Dropped = %+v, want a reason and a time to come back", e)
+				t.Fatalf("Dropped = %+v, want a reason and a RetryAfter", e)
 			}
 			delete(m.queued, e.ID)
 			m.ended++
@@ -61,23 +61,22 @@
 }
 
 func drawWork(t *rapid.T, now burdockclock.Millis, n int) Request {
-	w := Request{
+	req := Request{
 		ID:       burdockid.Request(fmt.Sprint("r", n)),
 		Customer: burdockid.Customer(rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f", "g"}).Draw(t, "customer")),
 		Class:    Class(rapid.IntRange(-1, 3).Draw(t, "class")),
 		Cost:     burdockid.Tokens(rapid.SampledFrom([]int{-1, 0, 1, 30, 400, 9000, math.MaxInt64}).Draw(t, "cost")),
 	}
 	if rapid.Bool().Draw(t, "hasDeadline") {
-		w.Deadline = now + burdockclock.Millis(rapid.IntRange(-10, 10000).Draw(t, "deadline"))
+		req.Deadline = now + burdockclock.Millis(rapid.IntRange(-10, 10000).Draw(t, "deadline"))
 	}
-	return w
+	return req
 }
 
-// Any order of offers, ends, cancels, waits, new profiles and the start of a
-// stop, under any profile. The caller must see each request end once and no
-// event for work that it does not have queued; the queue's own invariants are
-// asserted after each step.
-func TestAnyOrderOfCalls(t *testing.T) {
+// Runs random sequences of offers, finishes, cancels, delays, reconfigurations and drains
+// under random configurations. Each request must end exactly once, and events must refer
+// to queued requests only. The queue's invariants are checked after each step.
+func TestRandomCallSequences(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := burdockclock.Millis(1000)
 		q := New(drawConfig(t), rand.New(rand.NewPCG(1, 2)))
@@ -93,17 +92,17 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"offer": func(t *rapid.T) {
-				w := drawWork(t, now, m.offered)
+				req := drawWork(t, now, m.offered)
 				m.offered++
-				switch d := q.Offer(now, w).(type) {
+				switch d := q.Offer(now, req).(type) {
 				case Start:
-					m.running[w.ID] = true
+					m.running[req.ID] = true
 				case Wait:
-					m.queued[w.ID] = true
+					m.queued[req.ID] = true
 				case Refuse:
 					m.ended++
 					if d.Reason == ReasonNone || d.RetryAfter <= 0 {
-						t.Fatalf("Refuse = %+v, want a reason and a time to come back", d)
+						t.Fatalf("Refuse = %+v, want a reason and a RetryAfter", d)
 					}
 				}
 			},
@@ -134,7 +133,7 @@
 				before := q.State().Now
 				m.apply(t, q.Dispatch(now-500))
 				if got := q.State().Now; got < before {
-					t.Fatalf("Now = %d after %d, want no step back", got, before)
+					t.Fatalf("Now = %d after %d, want it not to go back", got, before)
 				}
 			},
 			"reconfigure": func(t *rapid.T) {
@@ -167,9 +166,9 @@
 	})
 }
 
-// Customers that stay backlogged, with any shares, costs and errors of estimate.
-// Whatever ends first, no two of them may differ in service over share by more
-// than the bound that is stated for each.
+// Customers stay backlogged, with random shares, costs and estimation errors. Whatever ends
+// first, the service over share of two customers must not differ by more than the sum of
+// their bounds.
 func TestSharesWhileBacklogged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []burdockid.Customer{"a", "b", "c"}
@@ -180,17 +179,18 @@
 		}
 		q := New(cfg, rand.New(rand.NewPCG(1, 2)))
 		now, n := burdockclock.Millis(1000), 0
-		works := map[burdockid.Request]Request{}
-		service := map[burdockid.Customer]float64{} // of ended work, and the charge of what runs
+		requests := map[burdockid.Request]Request{}
+		// service is the tokens served to ended requests plus the cost of running ones.
+		service := map[burdockid.Customer]float64{}
 		var running []Request
 		greatest := 1.0
 		offer := func(name burdockid.Customer) {
 			n++
-			w := Request{ID: burdockid.Request(fmt.Sprint(n)), Customer: name, Cost: burdockid.Tokens(rapid.IntRange(1, 500).Draw(t, "cost"))}
-			works[w.ID] = w
-			greatest = max(greatest, float64(w.Cost))
-			if _, ok := q.Offer(now, w).(Start); ok {
-				running = append(running, w)
+			req := Request{ID: burdockid.Request(fmt.Sprint(n)), Customer: name, Cost: burdockid.Tokens(rapid.IntRange(1, 500).Draw(t, "cost"))}
+			requests[req.ID] = req
+			greatest = max(greatest, float64(req.Cost))
+			if _, ok := q.Offer(now, req).(Start); ok {
+				running = append(running, req)
 			}
 		}
 		for range slots {
@@ -211,9 +211,9 @@
 			running = append(running[:i], running[i+1:]...)
 			q.Finish(now, ended.ID, served)
 			for _, e := range q.Dispatch(now) {
-				w := works[e.(Started).ID]
-				running = append(running, w)
-				service[w.Customer] += float64(w.Cost)
+				req := requests[e.(Started).ID]
+				running = append(running, req)
+				service[req.Customer] += float64(req.Cost)
 			}
 			q.CheckInvariants()
 			bound := float64(slots) * greatest
--- a/internal/decide/burdockqueue/order.go
+++ b/internal/decide/burdockqueue/order.go
@@ -2,7 +2,7 @@
 
 // This file decides which class gets the next slot.
 
-// pick returns the queued work that is started next, if any may be.
+// pick returns the queued request to start next, if any may start.
 func (q *Queue) pick() (*item, bool) {
 	class, ok := q.pickClass()
 	if !ok {
@@ -11,7 +11,7 @@
 	return q.classes[class].next()
 }
 
-// anyStartable reports whether queued work is waiting for Dispatch to start it.
+// anyStartable reports whether Dispatch would start a queued request.
 func (q *Queue) anyStartable() bool {
 	_, ok := q.pickClass()
 	return ok
@@ -19,7 +19,7 @@
 
 // pickClass returns the class that gets the next slot.
 func (q *Queue) pickClass() (Class, bool) {
-	if class, ok := q.mostOverdue(); ok {
+	if class, ok := q.mostStarvedClass(); ok {
 		return class, true
 	}
 	for i, c := range q.classes {
@@ -30,16 +30,17 @@
 	return 0, false
 }
 
-// mostOverdue returns the class that has gone longest beyond its bound.
+// mostStarvedClass returns the class that may start and whose MaxStarvation passed first,
+// if any.
 //
-// Load: urgent work that alone fills the engine for minutes. Harm prevented:
-// the other classes stand still until their callers give up. One start for
-// each MaxStarvation bounds what this costs urgent work: a slot, not a share
-// that grows with the backlog of the others.
-func (q *Queue) mostOverdue() (Class, bool) {
+// When urgent requests alone fill the engine for minutes, the other classes would get no
+// start before their callers give up. One start per MaxStarvation bounds the cost for
+// urgent requests: it takes a slot, not a share that grows with the backlog of the
+// others.
+func (q *Queue) mostStarvedClass() (Class, bool) {
 	found, earliest := Class(-1), never
 	for i, c := range q.classes {
-		due := c.dueAt()
+		due := c.starvationDeadline()
 		if due <= q.now && due < earliest && q.mayStart(Class(i)) {
 			found, earliest = Class(i), due
 		}
@@ -47,23 +48,23 @@
 	return found, found >= 0
 }
 
-// mayStart reports whether a slot is free that the class may take.
+// mayStart reports whether a slot is free that the class may use.
 func (q *Queue) mayStart(class Class) bool {
-	return (!q.paused || q.permitted) && q.cfg.Slots-q.running.len() > q.keptFrom(class)
+	return (!q.paused || q.probeAllowed) && q.cfg.Slots-q.running.len() > q.reservedAbove(class)
 }
 
-// keptFrom returns how many free slots are kept for more urgent classes.
+// reservedAbove returns how many free slots are reserved for more urgent classes.
 //
-// Load: few slots and long requests, so that a slot comes free less often than
-// an urgent reply may wait. Harm prevented: a short urgent reply waits behind
-// long prompts that all hold a slot already, where no order of the queue can
-// help. A class that uses its kept slots keeps no more, so that it is a bound
-// on what the others take and not a part of the engine that only it may use.
-func (q *Queue) keptFrom(class Class) int {
-	kept := 0
+// With few slots and long requests, slots become free less often than an urgent reply may
+// wait. A short urgent reply then waits behind long prompts that already run, which no
+// queue order can prevent. Slots that a class already uses count against its reservation,
+// so a reservation limits the other classes without setting capacity aside for exclusive
+// use.
+func (q *Queue) reservedAbove(class Class) int {
+	reserved := 0
 	for _, c := range q.classes[:class] {
-		kept += max(c.cfg.ReservedSlots-c.running, 0)
+		reserved += max(c.cfg.ReservedSlots-c.running, 0)
 	}
-	// One slot is always left to the others, or they would never run.
-	return max(min(kept, q.cfg.Slots-1), 0)
+	// One slot always remains for the other classes; otherwise they would never run.
+	return max(min(reserved, q.cfg.Slots-1), 0)
 }
--- a/internal/decide/burdockqueue/queue.go
+++ b/internal/decide/burdockqueue/queue.go
@@ -7,37 +7,37 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// Queue decides for one engine. It is not safe for concurrent use. Dispatch must
-// be called after each of Offer, Finish, Cancel, Drain and Reconfigure, and at
-// the instant that WakeAt returns.
+// Queue decides for one engine. It is not safe for concurrent use. Dispatch must be
+// called after each call of Offer, Finish, Cancel, Drain, Pause, AllowProbe and
+// Reconfigure, and at the time that WakeAt returns.
 type Queue struct {
 	cfg     Config
 	classes []*fairQueue
 	items   map[burdockid.Request]*item
-	expiry  indexedHeap[*item] // queued work, the first to expire first
+	expiry  indexedHeap[*item] // queued requests, earliest recheck first
 	running runningSet
 	queued  int
 	// queuedCost is the sum over the classes.
-	queuedCost burdockid.Tokens
-	service    serviceTime // over all classes
-	retry      retrySpreader
-	leaving    bool
-	paused     bool
-	pausedAt   burdockclock.Millis
-	permitted  bool // one start in spite of the pause
-	now        burdockclock.Millis
-	pending    []Event // for the next call of Dispatch
-	log        decisionLog
-	counts     counts
+	queuedCost   burdockid.Tokens
+	service      serviceEstimator // over all classes
+	retry        retrySpreader
+	draining     bool
+	paused       bool
+	pausedAt     burdockclock.Millis
+	probeAllowed bool // one start is allowed in spite of the pause
+	now          burdockclock.Millis
+	pending      []Event // returned by the next call of Dispatch
+	decisions    decisionLog
+	counts       counts
 }
 
-// New returns an empty queue. It draws from rnd to spread those it refuses.
+// New returns an empty queue. rnd is the source of the jitter in RetryAfter.
 func New(cfg Config, rnd *rand.Rand) *Queue {
 	q := &Queue{
 		cfg:   cfg.withDefaults(),
 		items: make(map[burdockid.Request]*item),
 		expiry: indexedHeap[*item]{
-			less:  func(a, b *item) bool { return a.judgeAt < b.judgeAt },
+			less:  func(a, b *item) bool { return a.recheckAt < b.recheckAt },
 			index: func(it *item) *int { return &it.expiryIndex },
 		},
 		running: newRunningSet(),
@@ -49,57 +49,58 @@
 	return q
 }
 
-// Offer decides on new work.
-func (q *Queue) Offer(now burdockclock.Millis, w Request) Decision {
+// Offer decides on a new request.
+func (q *Queue) Offer(now burdockclock.Millis, req Request) Decision {
 	q.advance(now)
-	q.believeInitialRate()
-	w = q.normalise(w)
+	q.seedInitialRate()
+	req = q.normalise(req)
 	q.counts.offered++
-	if reason := q.unwelcome(w); reason != ReasonNone {
-		return q.refuse(w, reason, 0)
+	if reason := q.unconditionalRefusal(req); reason != ReasonNone {
+		return q.refuse(req, reason, 0)
 	}
-	class := q.classes[w.Class]
-	if q.mayStart(w.Class) && !q.anyStartable() {
-		it := &item{work: w, flow: class.flow(w.Customer, q.cfg.share(w.Customer)), expiryIndex: notInHeap, runningIndex: notInHeap}
-		q.items[w.ID] = it
+	class := q.classes[req.Class]
+	if q.mayStart(req.Class) && !q.anyStartable() {
+		it := &item{req: req, flow: class.flow(req.Customer, q.cfg.share(req.Customer)), expiryIndex: notInHeap, runningIndex: notInHeap}
+		q.items[req.ID] = it
 		q.start(it)
 		return Start{}
 	}
-	expected := q.expectedWait(w)
-	if reason := q.hopeless(w, expected); reason != ReasonNone {
-		return q.refuse(w, reason, expected)
+	expected := q.expectedWait(req)
+	if reason := q.admissionRefusal(req, expected); reason != ReasonNone {
+		return q.refuse(req, reason, expected)
 	}
-	if reason := q.makeRoom(w); reason != ReasonNone {
-		return q.refuse(w, reason, expected)
+	if reason := q.makeRoom(req); reason != ReasonNone {
+		return q.refuse(req, reason, expected)
 	}
-	q.enqueue(w)
+	q.enqueue(req)
 	position := 0
-	for _, c := range q.classes[:w.Class+1] {
+	for _, c := range q.classes[:req.Class+1] {
 		position += c.queued
 	}
-	q.note(w, OutcomeWait, ReasonNone, expected)
+	q.logDecision(req, OutcomeWait, ReasonNone, expected)
 	return Wait{Position: position, Expected: expected}
 }
 
-// Finish ends running work of which served tokens were served; its time
-// teaches the service rate. It does nothing for an id that is not running.
+// Finish records the end of a running request that was served the given number of tokens.
+// The service rate is estimated from its running time. It does nothing if id is not
+// running.
 func (q *Queue) Finish(now burdockclock.Millis, id burdockid.Request, served burdockid.Tokens) {
 	q.advance(now)
 	it, ok := q.items[id]
-	if !ok || it.place != placeRunning {
+	if !ok || it.phase != phaseRunning {
 		return
 	}
 	if served > 0 {
-		took := q.now - it.started
-		q.service.learn(q.now, it.work.Cost, took)
-		q.classes[it.work.Class].service.learn(q.now, it.work.Cost, took)
+		elapsed := q.now - it.started
+		q.service.observe(q.now, it.req.Cost, elapsed)
+		q.classes[it.req.Class].service.observe(q.now, it.req.Cost, elapsed)
 	}
 	q.counts.finished++
 	q.stop(it, min(max(served, 0), maxCost))
 }
 
-// Cancel forgets work that nobody waits for any longer, queued or running. It
-// does nothing for an id that is neither.
+// Cancel removes a queued or running request whose caller has gone. It does nothing if id
+// is neither.
 func (q *Queue) Cancel(now burdockclock.Millis, id burdockid.Request) {
 	q.advance(now)
 	it, ok := q.items[id]
@@ -107,16 +108,17 @@
 		return
 	}
 	q.counts.cancelled++
-	if it.place == placeRunning {
-		q.stop(it, q.servedSoFar(it))
+	if it.phase == phaseRunning {
+		q.stop(it, q.estimateServed(it))
 		return
 	}
 	q.dequeue(it)
 	delete(q.items, id)
 }
 
-// Dispatch returns what became of queued work by now: first what is dropped, then
-// what is started.
+// Dispatch drops queued requests that have expired or would be too late, starts those
+// that may start, and returns the events, including those of requests displaced since the
+// last call.
 func (q *Queue) Dispatch(now burdockclock.Millis) []Event {
 	q.advance(now)
 	events := q.pending
@@ -130,37 +132,37 @@
 		events = append(events, q.startOrDrop(it))
 	}
 	q.checkCounts()
-	q.checkNothingDue()
+	q.checkWorkConserving()
 	return events
 }
 
-// WakeAt returns the next instant at which Dispatch has something to tell although
-// nothing else has happened, and false if there is none.
+// WakeAt returns the next time at which Dispatch must be called even if nothing else
+// happens, and false if there is none.
 func (q *Queue) WakeAt() (burdockclock.Millis, bool) {
 	if len(q.pending) > 0 {
 		return q.now, true
 	}
 	it, ok := q.expiry.first()
-	if !ok || it.judgeAt == never {
+	if !ok || it.recheckAt == never {
 		return 0, false
 	}
-	return it.judgeAt, true
+	return it.recheckAt, true
 }
 
-// Drain refuses all new work from now on. Queued work keeps its place, so that
-// a planned stop cuts off nothing that was admitted.
+// Drain refuses all new requests from now on. Queued requests stay, so that a planned
+// stop does not cut off anything that was admitted.
 func (q *Queue) Drain(now burdockclock.Millis) {
 	q.advance(now)
-	q.leaving = true
+	q.draining = true
 }
 
-// Pause has nothing started until it is called with false. What is offered or queued
-// meanwhile is not judged by how fast work was served, as nobody knows for how long
-// nothing will be; it waits as long as it may.
+// Pause stops starting requests if paused is true, and resumes if it is false. During a
+// pause, offered and queued requests are not judged by the service rate, since nobody
+// knows how long the pause lasts; they wait until their deadline or MaxWait.
 //
-// Load: an engine that stands still for a second or two at the usual load. Harm
-// prevented: work that is started meanwhile fills it, and what comes after it moves
-// again is late for many times as long as it stood.
+// This is for an engine that stalls for a second or two under ordinary load. Requests
+// started during the stall would fill it, and later ones would be late for many times the
+// length of the stall.
 func (q *Queue) Pause(now burdockclock.Millis, paused bool) {
 	q.advance(now)
 	switch {
@@ -171,67 +173,68 @@
 	default:
 		q.discountPause()
 	}
-	q.paused, q.permitted = paused, false
+	q.paused, q.probeAllowed = paused, false
 }
 
-// AllowProbe has one piece of work started in spite of a pause, to find out whether the
-// engine goes on.
+// AllowProbe allows one start in spite of a pause, to find out whether the engine
+// responds again.
 func (q *Queue) AllowProbe(now burdockclock.Millis) {
 	q.advance(now)
-	q.permitted = q.paused
+	q.probeAllowed = q.paused
 }
 
-// discountPause takes the time of the pause off the work that ran through it, so that
-// the rate at which work is served doesn't fall by it.
+// discountPause deducts the pause from the running time of the requests that ran through
+// it, so that the pause does not lower the estimated service rate.
 func (q *Queue) discountPause() {
-	for _, it := range q.running.inOrder() {
-		class := q.classes[it.work.Class]
-		q.service.end(it.work.Cost, it.started)
-		class.service.end(it.work.Cost, it.started)
+	for _, it := range q.running.snapshot() {
+		class := q.classes[it.req.Class]
+		q.service.end(it.req.Cost, it.started)
+		class.service.end(it.req.Cost, it.started)
 		it.started += q.now - max(it.started, q.pausedAt)
-		q.service.begin(it.work.Cost, it.started)
-		class.service.begin(it.work.Cost, it.started)
+		q.service.begin(it.req.Cost, it.started)
+		class.service.begin(it.req.Cost, it.started)
 	}
 }
 
-// advance moves the queue's time. A clock that was set back must not make
-// spans negative, so time stands still until the clock has caught up.
+// advance moves the queue's time forward. If the clock was set back, time stands still
+// until the clock has caught up, since intervals must not be negative.
 func (q *Queue) advance(now burdockclock.Millis) { q.now = max(q.now, now) }
 
-func (q *Queue) normalise(w Request) Request {
-	w.Class = min(max(w.Class, 0), Class(len(q.classes)-1))
-	w.Cost = min(max(w.Cost, 0), maxCost)
-	if w.Arrived <= 0 || w.Arrived > q.now {
-		w.Arrived = q.now
+func (q *Queue) normalise(req Request) Request {
+	req.Class = min(max(req.Class, 0), Class(len(q.classes)-1))
+	req.Cost = min(max(req.Cost, 0), maxCost)
+	if req.Arrived <= 0 || req.Arrived > q.now {
+		req.Arrived = q.now
 	}
-	return w
+	return req
 }
 
-// believeInitialRate starts from the configured rate, which ages from the
-// first offer on and not from the Unix epoch.
-func (q *Queue) believeInitialRate() {
-	if q.service.busy == 0 && q.cfg.InitialRate > 0 {
-		q.service.believe(q.now, q.cfg.InitialRate/float64(burdockclock.Second))
+// seedInitialRate seeds the estimator with the configured rate at the first offer. Seeded
+// earlier, the rate would have decayed since the Unix epoch.
+func (q *Queue) seedInitialRate() {
+	if q.service.finishedTime == 0 && q.cfg.InitialRate > 0 {
+		q.service.seed(q.now, q.cfg.InitialRate/float64(burdockclock.Second))
 	}
 }
 
-// unwelcome returns why work cannot be taken whatever the load.
-func (q *Queue) unwelcome(w Request) Reason {
-	if q.leaving {
+// unconditionalRefusal returns why a request is refused regardless of the load, or
+// ReasonNone.
+func (q *Queue) unconditionalRefusal(req Request) Reason {
+	if q.draining {
 		return ReasonDraining
 	}
-	if _, ok := q.items[w.ID]; ok {
+	if _, ok := q.items[req.ID]; ok {
 		return ReasonDuplicate
 	}
-	if q.deadlineLost(w) {
+	if q.missesDeadline(req) {
 		return ReasonDeadline
 	}
 	return ReasonNone
 }
 
-func (q *Queue) refuse(w Request, reason Reason, expected burdockclock.Millis) Refuse {
+func (q *Queue) refuse(req Request, reason Reason, expected burdockclock.Millis) Refuse {
 	q.counts.refused[reason]++
-	after := q.retryAfter(w, reason, expected)
-	q.note(w, OutcomeRefuse, reason, after)
+	after := q.retryAfter(req, reason, expected)
+	q.logDecision(req, OutcomeRefuse, reason, after)
 	return Refuse{Reason: reason, RetryAfter: after}
 }
--- a/internal/decide/burdockqueue/rate.go
+++ b/internal/decide/burdockqueue/rate.go
@@ -7,99 +7,99 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// rateMemory is the time after which an observation counts for 1/e. It is long
-// against one request, so that one short answer does not decide, and short
-// against the minutes for which a slow engine would otherwise be believed fast.
-const rateMemory = 10 * burdockclock.Second
+// rateTimeConstant is the time after which the weight of an observation has decayed to
+// 1/e. It is long compared with one request, so that a single short answer does not
+// decide the rate. It is short compared with minutes, so that an engine that has become
+// slow is noticed in time.
+const rateTimeConstant = 10 * burdockclock.Second
 
-// decay is the weight that is left of an observation after a span.
-func decay(span burdockclock.Millis) float64 {
-	return math.Exp(-float64(max(span, 0)) / float64(rateMemory))
+// decay returns the remaining weight of an observation after the elapsed time.
+func decay(elapsed burdockclock.Millis) float64 {
+	return math.Exp(-float64(max(elapsed, 0)) / float64(rateTimeConstant))
 }
 
-// meter measures a flow of tokens over time.
+// meter measures a token rate with exponential decay.
 type meter struct {
-	sum   float64
-	since burdockclock.Millis
-	at    burdockclock.Millis
+	sum       float64
+	firstAt   burdockclock.Millis
+	updatedAt burdockclock.Millis
 }
 
 func (m *meter) add(now burdockclock.Millis, tokens float64) {
-	if m.since == 0 {
-		m.since, m.at = now, now
+	if m.firstAt == 0 {
+		m.firstAt, m.updatedAt = now, now
 	}
-	m.sum = m.sum*decay(now-m.at) + tokens
-	m.at = now
+	m.sum = m.sum*decay(now-m.updatedAt) + tokens
+	m.updatedAt = now
 }
 
-// rate returns tokens a millisecond.
+// rate returns the rate in tokens per millisecond.
 func (m *meter) rate(now burdockclock.Millis) float64 {
-	if m.since == 0 {
+	if m.firstAt == 0 {
 		return 0
 	}
-	return m.sum * decay(now-m.at) / float64(rateMemory)
+	return m.sum * decay(now-m.updatedAt) / float64(rateTimeConstant)
 }
 
-// serviceTime learns how long one request of a given cost holds its slot. It
-// counts the offered cost, not what was served, so that customers who all
-// overstate their cost are still predicted rightly.
+// serviceEstimator estimates how long a request of a given cost holds its slot. It uses
+// the offered cost, not the tokens served, so that the estimate is right even if all
+// customers overstate their cost.
 //
-// Load: an engine that becomes slow. Harm prevented: the rate learned from
-// finished work says nothing while nothing finishes, so work is admitted that
-// cannot be served in time. Running work counts with the time that it has run
-// and at most its whole cost, so that what overruns lowers the rate before it
-// ends.
-type serviceTime struct {
-	cost float64 // decayed sum of the costs of finished work
-	busy float64 // decayed sum of the milliseconds it took
-	at   burdockclock.Millis
+// Finished requests alone say nothing about an engine that has become slow while none
+// finishes, and requests would be admitted that cannot be served in time. Running
+// requests therefore count with the time they have run and at most their whole cost: one
+// that takes longer than expected lowers the rate before it ends.
+type serviceEstimator struct {
+	finishedCost float64 // decayed sum of the costs of finished requests
+	finishedTime float64 // decayed sum of their service times in ms
+	updatedAt    burdockclock.Millis
 
 	running     int
 	runningCost burdockid.Tokens
 	startSum    burdockclock.Millis
 }
 
-// believe sets a rate in tokens a millisecond to start from. It counts as much
-// as one second of one slot.
-func (s *serviceTime) believe(now burdockclock.Millis, rate float64) {
-	s.cost, s.busy, s.at = rate*float64(burdockclock.Second), float64(burdockclock.Second), now
+// seed sets an initial rate in tokens per millisecond, with the weight of one second of
+// one slot.
+func (s *serviceEstimator) seed(now burdockclock.Millis, rate float64) {
+	s.finishedCost, s.finishedTime, s.updatedAt = rate*float64(burdockclock.Second), float64(burdockclock.Second), now
 }
 
-func (s *serviceTime) begin(cost burdockid.Tokens, started burdockclock.Millis) {
+func (s *serviceEstimator) begin(cost burdockid.Tokens, started burdockclock.Millis) {
 	s.running++
-	s.runningCost += charged(cost)
+	s.runningCost += chargedCost(cost)
 	s.startSum += started
 }
 
-func (s *serviceTime) end(cost burdockid.Tokens, started burdockclock.Millis) {
+func (s *serviceEstimator) end(cost burdockid.Tokens, started burdockclock.Millis) {
 	s.running--
-	s.runningCost -= charged(cost)
+	s.runningCost -= chargedCost(cost)
 	s.startSum -= started
 }
 
-func (s *serviceTime) learn(now burdockclock.Millis, cost burdockid.Tokens, took burdockclock.Millis) {
-	keep := decay(now - s.at)
-	s.cost = s.cost*keep + float64(charged(cost))
-	s.busy = s.busy*keep + float64(max(took, 1))
-	s.at = now
+func (s *serviceEstimator) observe(now burdockclock.Millis, cost burdockid.Tokens, elapsed burdockclock.Millis) {
+	factor := decay(now - s.updatedAt)
+	s.finishedCost = s.finishedCost*factor + float64(chargedCost(cost))
+	s.finishedTime = s.finishedTime*factor + float64(max(elapsed, 1))
+	s.updatedAt = now
 }
 
-// rate returns tokens a millisecond for one slot; 0 is unknown.
-func (s *serviceTime) rate(now burdockclock.Millis) float64 {
-	if s.busy <= 0 {
+// rate returns the rate of one slot in tokens per millisecond; 0 means unknown.
+func (s *serviceEstimator) rate(now burdockclock.Millis) float64 {
+	if s.finishedTime <= 0 {
 		return 0
 	}
-	keep := decay(now - s.at)
+	factor := decay(now - s.updatedAt)
 	elapsed := float64(now*burdockclock.Millis(s.running) - s.startSum)
-	progress := min(float64(s.runningCost), elapsed*s.cost/s.busy)
-	return (s.cost*keep + progress) / (s.busy*keep + elapsed)
+	progress := min(float64(s.runningCost), elapsed*s.finishedCost/s.finishedTime)
+	return (s.finishedCost*factor + progress) / (s.finishedTime*factor + elapsed)
 }
 
-// millis returns the expected milliseconds for a cost; 0 is unknown.
-func (s *serviceTime) millis(now burdockclock.Millis, cost burdockid.Tokens) float64 {
+// millis returns the expected time in milliseconds for a cost; 0 means unknown.
+func (s *serviceEstimator) millis(now burdockclock.Millis, cost burdockid.Tokens) float64 {
 	rate := s.rate(now)
 	if rate <= 0 {
 		return 0
 	}
-	return float64(charged(cost)) / rate
+	return float64(chargedCost(cost)) / rate
 }
--- a/internal/decide/burdockqueue/reason.go
+++ b/internal/decide/burdockqueue/reason.go
@@ -1,35 +1,34 @@
 package burdockqueue
 
-// Reason says why work was refused or dropped. In each case it was not run.
+// Reason is why a request was refused or dropped. In each case it was not run.
 type Reason int
 
-// The reasons for which work is refused or dropped.
+// Reasons for which requests are refused or dropped.
 const (
 	ReasonNone Reason = iota
-	// ReasonQueueFull means that the bound on queued work is reached and
-	// nothing queued is less urgent or further over its share.
+	// ReasonQueueFull means that MaxQueued is reached and no queued request is less
+	// urgent or of a customer further over its share.
 	ReasonQueueFull
-	// ReasonDeadline means that the deadline cannot be met at the measured
-	// service rate.
+	// ReasonDeadline means that the deadline cannot be met at the measured service rate.
 	ReasonDeadline
-	// ReasonOverShare means that the customer's own backlog is beyond its share
-	// while the engine is saturated.
+	// ReasonOverShare means that the customer's own backlog exceeds its share while the
+	// engine is saturated.
 	ReasonOverShare
-	// ReasonWaitExceeded means that the work has waited, or would wait, longer
-	// than its class allows.
+	// ReasonWaitExceeded means that the request has waited, or would have to wait, longer
+	// than the MaxWait of its class.
 	ReasonWaitExceeded
-	// ReasonDisplaced means that queued work made room for work that is more
-	// urgent or whose customer is less far over its share.
+	// ReasonDisplaced means that a queued request made room for one that is more urgent or
+	// whose customer is less far over its share.
 	ReasonDisplaced
-	// ReasonDraining means that this upstream takes no new work any more.
+	// ReasonDraining means that this upstream accepts no new requests.
 	ReasonDraining
-	// ReasonDuplicate means that work with the same id is queued or running
-	// here. Only this offer of it was not run.
+	// ReasonDuplicate means that a request with the same ID is already queued or running.
+	// Only this offer of it was not run.
 	ReasonDuplicate
-	reasonCount
+	numReasons
 )
 
-var reasonNames = [reasonCount]string{
+var reasonNames = [numReasons]string{
 	ReasonNone:         "none",
 	ReasonQueueFull:    "queue full",
 	ReasonDeadline:     "deadline cannot be met",
@@ -40,9 +39,9 @@
 	ReasonDuplicate:    "duplicate request",
 }
 
-// String returns the reason in words, as callers and logs see it.
+// String returns the text that callers and logs see.
 func (r Reason) String() string {
-	if r < 0 || r >= reasonCount {
+	if r < 0 || r >= numReasons {
 		return "unknown"
 	}
 	return reasonNames[r]
--- a/internal/decide/burdockqueue/reconfigure.go
+++ b/internal/decide/burdockqueue/reconfigure.go
@@ -2,9 +2,9 @@
 
 import "burdockbend.example/burdockbend/internal/base/burdockclock"
 
-// Reconfigure takes over a new profile. Queued work stays, also beyond a lower
-// bound on length, and keeps the bound on its wait under which it was admitted;
-// work of a class that is gone joins the last class.
+// Reconfigure applies a new configuration. Queued requests stay, even beyond a lower
+// MaxQueued, and keep the MaxWait under which they were admitted. Requests of a removed
+// class join the last remaining class.
 func (q *Queue) Reconfigure(now burdockclock.Millis, cfg Config) {
 	q.advance(now)
 	q.cfg = cfg.withDefaults()
@@ -16,30 +16,30 @@
 		q.classes = append(q.classes, newFairQueue(class))
 	}
 	for len(q.classes) > len(q.cfg.Classes) {
-		q.foldLastClass()
+		q.mergeLastClass()
 	}
 	for _, class := range q.classes {
-		class.reweigh(q.cfg.share)
+		class.updateWeights(q.cfg.share)
 	}
 }
 
-// foldLastClass moves the work of the last class to the one before it.
-func (q *Queue) foldLastClass() {
+// mergeLastClass moves the requests of the last class to the one before it.
+func (q *Queue) mergeLastClass() {
 	last := len(q.classes) - 1
 	from, to := q.classes[last], q.classes[last-1]
-	for _, it := range from.inOrder() {
+	for _, it := range from.snapshot() {
 		from.remove(it)
-		it.work.Class = Class(last - 1)
-		to.push(q.now, it, q.cfg.share(it.work.Customer))
+		it.req.Class = Class(last - 1)
+		to.push(q.now, it, q.cfg.share(it.req.Customer))
 	}
-	for _, it := range q.running.inOrder() {
-		if it.work.Class != Class(last) {
+	for _, it := range q.running.snapshot() {
+		if it.req.Class != Class(last) {
 			continue
 		}
-		it.work.Class = Class(last - 1)
-		from.service.end(it.work.Cost, it.started)
-		to.service.begin(it.work.Cost, it.started)
-		it.flow = to.adopt(it, q.cfg.share(it.work.Customer))
+		it.req.Class = Class(last - 1)
+		from.service.end(it.req.Cost, it.started)
+		to.service.begin(it.req.Cost, it.started)
+		it.flow = to.adoptRunning(it, q.cfg.share(it.req.Customer))
 	}
 	q.classes = q.classes[:last]
 }
--- a/internal/decide/burdockqueue/running.go
+++ b/internal/decide/burdockqueue/running.go
@@ -5,8 +5,7 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// runningSet holds the work that has a slot, the first that is expected to end
-// on top.
+// runningSet holds the requests that have a slot, ordered by expected end.
 type runningSet struct {
 	byEnd indexedHeap[*item]
 	cost  burdockid.Tokens
@@ -14,7 +13,7 @@
 
 func newRunningSet() runningSet {
 	return runningSet{byEnd: indexedHeap[*item]{
-		less:  func(a, b *item) bool { return a.ends < b.ends },
+		less:  func(a, b *item) bool { return a.expectedEnd < b.expectedEnd },
 		index: func(it *item) *int { return &it.runningIndex },
 	}}
 }
@@ -23,33 +22,34 @@
 
 func (s *runningSet) add(it *item) {
 	s.byEnd.add(it)
-	s.cost += charged(it.work.Cost)
+	s.cost += chargedCost(it.req.Cost)
 }
 
 func (s *runningSet) remove(it *item) {
 	s.byEnd.remove(it)
-	s.cost -= charged(it.work.Cost)
+	s.cost -= chargedCost(it.req.Cost)
 }
 
-// overrunPart is the part of its time so far for which work that has outrun its
-// estimate is expected to go on. Since each new expectation is later by a
-// factor, one request is looked at again only a logarithmic number of times.
-const overrunPart = 0.125
+// overrunExtension is the fraction of the running time by which the expected end of a
+// request that has overrun its estimate is extended. As the extensions grow
+// geometrically, one request is re-estimated only a logarithmic number of times.
+const overrunExtension = 0.125
 
-// nextEnd returns the span to the first expected end; 0 when nothing runs.
+// nextEnd returns the time until the first expected end; 0 if nothing runs.
 func (s *runningSet) nextEnd(now burdockclock.Millis) burdockclock.Millis {
 	for {
 		it, ok := s.byEnd.first()
 		if !ok {
 			return 0
 		}
-		if it.ends > now {
-			return it.ends - now
+		if it.expectedEnd > now {
+			return it.expectedEnd - now
 		}
-		it.ends = now + 1 + burdockclock.Millis(overrunPart*float64(now-it.started))
+		it.expectedEnd = now + 1 + burdockclock.Millis(overrunExtension*float64(now-it.started))
 		s.byEnd.fix(it)
 	}
 }
 
-// inOrder returns the items, in an order that the same calls always give.
-func (s *runningSet) inOrder() []*item { return append([]*item(nil), s.byEnd.items...) }
+// snapshot returns a copy of the items, in an order that depends only on the calls made
+// so far.
+func (s *runningSet) snapshot() []*item { return append([]*item(nil), s.byEnd.items...) }
--- a/internal/decide/burdockqueue/state.go
+++ b/internal/decide/burdockqueue/state.go
@@ -7,7 +7,7 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// Outcome is what was decided on one request.
+// Outcome is the kind of a decision.
 type Outcome int
 
 // The outcomes of a decision.
@@ -25,7 +25,7 @@
 	OutcomeDrop:   "drop",
 }
 
-// String returns the outcome in words.
+// String returns the name of the outcome.
 func (o Outcome) String() string {
 	if o < 0 || int(o) >= len(outcomeNames) {
 		return "unknown"
@@ -44,48 +44,48 @@
 	Class    Class               `json:"class"`
 	Outcome  Outcome             `json:"outcome"`
 	Reason   Reason              `json:"reason"`
-	// Delay is the wait so far of a start, the expected wait of a wait, and the
-	// RetryAfter of a refusal or drop.
+	// Delay is the wait so far for a start, the expected wait for a wait, and the
+	// RetryAfter for a refusal or drop.
 	Delay burdockclock.Millis `json:"span"`
 }
 
-// decisionLogSize bounds the decisions that are kept. At tens of requests a
-// second it covers the last few seconds, for a few kilobytes.
+// decisionLogSize bounds the decisions that are kept. At tens of requests per second it
+// covers the last few seconds in a few kilobytes.
 const decisionLogSize = 64
 
-// decisionLog is a ring of the last decisions.
+// decisionLog is a ring buffer of the most recent decisions.
 type decisionLog struct {
-	made [decisionLogSize]DecisionRecord
-	n    uint64
+	records [decisionLogSize]DecisionRecord
+	n       uint64
 }
 
-func (l *decisionLog) add(m DecisionRecord) {
-	l.made[l.n%decisionLogSize] = m
+func (l *decisionLog) add(r DecisionRecord) {
+	l.records[l.n%decisionLogSize] = r
 	l.n++
 }
 
-// all returns the decisions, the oldest first.
+// all returns the recorded decisions, the oldest first.
 func (l *decisionLog) all() []DecisionRecord {
 	var first uint64
 	if l.n > decisionLogSize {
 		first = l.n - decisionLogSize
 	}
-	made := make([]DecisionRecord, 0, l.n-first)
+	records := make([]DecisionRecord, 0, l.n-first)
 	for i := first; i < l.n; i++ {
-		made = append(made, l.made[i%decisionLogSize])
+		records = append(records, l.records[i%decisionLogSize])
 	}
-	return made
+	return records
 }
 
-func (q *Queue) note(w Request, outcome Outcome, reason Reason, span burdockclock.Millis) {
-	q.log.add(DecisionRecord{
-		At: q.now, ID: w.ID, Customer: w.Customer, Class: w.Class,
-		Outcome: outcome, Reason: reason, Delay: span,
+func (q *Queue) logDecision(req Request, outcome Outcome, reason Reason, delay burdockclock.Millis) {
+	q.decisions.add(DecisionRecord{
+		At: q.now, ID: req.ID, Customer: req.Customer, Class: req.Class,
+		Outcome: outcome, Reason: reason, Delay: delay,
 	})
 }
 
-// reasonCounts counts by reason.
-type reasonCounts [reasonCount]uint64
+// reasonCounts holds a count per reason.
+type reasonCounts [numReasons]uint64
 
 // total returns the sum over all reasons.
 func (r reasonCounts) total() uint64 {
@@ -96,7 +96,7 @@
 	return n
 }
 
-// counts counts decisions since the queue was made.
+// counts holds the number of decisions since the queue was created.
 type counts struct {
 	offered   uint64
 	started   uint64
@@ -106,7 +106,7 @@
 	dropped   reasonCounts
 }
 
-// ReasonCount is how often a reason was given.
+// ReasonCount is how often requests were refused or dropped for a reason.
 type ReasonCount struct {
 	Reason Reason `json:"reason"`
 	Count  uint64 `json:"count"`
@@ -130,8 +130,8 @@
 	Running  int                `json:"running"`
 	// QueuedCost is in tokens.
 	QueuedCost burdockid.Tokens `json:"queuedCost"`
-	// Ahead is the customer's virtual time less that of its class, in tokens
-	// over share: the more, the later its turn.
+	// Ahead is the customer's virtual time minus that of its class, in tokens over share.
+	// The customer with the lowest value is next.
 	Ahead float64 `json:"ahead"`
 }
 
@@ -142,17 +142,17 @@
 	Running            int                 `json:"running"`
 	QueuedCost         burdockid.Tokens    `json:"queuedCost"`
 	VirtualTime        float64             `json:"virtualTime"`
-	StarvationDeadline burdockclock.Millis `json:"dueAt"` // 0 when the class is not waiting for a start
+	StarvationDeadline burdockclock.Millis `json:"dueAt"` // 0 if none
 	Customers          []CustomerState     `json:"customers"`
 }
 
-// State is the whole queue for the state dump.
+// State is the state dump of the queue.
 type State struct {
 	Now             burdockclock.Millis `json:"now"`
 	Load            Load                `json:"load"`
 	MaxQueued       int                 `json:"maxQueued"`
 	Draining        bool                `json:"leaving"`
-	TokensPerSecond float64             `json:"tokensASecond"` // believed of one slot; 0 is unknown
+	TokensPerSecond float64             `json:"tokensASecond"` // of one slot; 0 if unknown
 	Offered         uint64              `json:"offered"`
 	Started         uint64              `json:"started"`
 	Finished        uint64              `json:"finished"`
@@ -160,17 +160,17 @@
 	Refused         []ReasonCount       `json:"refused"`
 	Dropped         []ReasonCount       `json:"dropped"`
 	Classes         []ClassState        `json:"classes"`
-	Decisions       []DecisionRecord    `json:"decisions"` // the last ones, oldest first
+	Decisions       []DecisionRecord    `json:"decisions"` // the most recent, oldest first
 }
 
-// State returns the queue's state. Its cost grows with the customers that are
-// queued or running, not with the length of the queue.
+// State returns the queue's state. Its cost grows with the number of active customers,
+// not with the length of the queue.
 func (q *Queue) State() State {
 	s := State{
 		Now:             q.now,
 		Load:            q.Load(),
 		MaxQueued:       q.cfg.MaxQueued,
-		Draining:        q.leaving,
+		Draining:        q.draining,
 		TokensPerSecond: q.slotRate() * float64(burdockclock.Second),
 		Offered:         q.counts.offered,
 		Started:         q.counts.started,
@@ -178,7 +178,7 @@
 		Cancelled:       q.counts.cancelled,
 		Refused:         q.counts.refused.list(),
 		Dropped:         q.counts.dropped.list(),
-		Decisions:       q.log.all(),
+		Decisions:       q.decisions.all(),
 	}
 	for _, c := range q.classes {
 		s.Classes = append(s.Classes, c.state())
@@ -192,10 +192,10 @@
 		Queued:      c.queued,
 		Running:     c.running,
 		QueuedCost:  c.queuedCost,
-		VirtualTime: c.virtual,
+		VirtualTime: c.virtualTime,
 		Customers:   make([]CustomerState, 0, len(c.flows)),
 	}
-	if due := c.dueAt(); due != never {
+	if due := c.starvationDeadline(); due != never {
 		s.StarvationDeadline = due
 	}
 	for _, f := range c.flows {
@@ -205,7 +205,7 @@
 			Queued:     f.queued,
 			Running:    f.running,
 			QueuedCost: f.queuedCost,
-			Ahead:      f.virtual - c.virtual,
+			Ahead:      f.virtualTime - c.virtualTime,
 		})
 	}
 	sort.Slice(s.Customers, func(i, j int) bool { return s.Customers[i].Customer < s.Customers[j].Customer })
--- a/internal/decide/burdockqueue/transition.go
+++ b/internal/decide/burdockqueue/transition.go
@@ -5,132 +5,132 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// This file moves requests from one place to the next.
+// This file contains the transitions of requests between queued, running and removed.
 
-func (q *Queue) enqueue(w Request) {
-	it := &item{work: w, place: placeQueued, expiryIndex: notInHeap, runningIndex: notInHeap}
-	q.items[w.ID] = it
-	q.classes[w.Class].push(q.now, it, q.cfg.share(w.Customer))
+func (q *Queue) enqueue(req Request) {
+	it := &item{req: req, phase: phaseQueued, expiryIndex: notInHeap, runningIndex: notInHeap}
+	q.items[req.ID] = it
+	q.classes[req.Class].push(q.now, it, q.cfg.share(req.Customer))
 	q.queued++
-	q.queuedCost += charged(w.Cost)
-	it.expires, it.expiryReason = q.expiryOf(w)
-	it.judgeAt = q.nextLook(it)
+	q.queuedCost += chargedCost(req.Cost)
+	it.expiresAt, it.expiryReason = q.expiryOf(req)
+	it.recheckAt = q.nextRecheck(it)
 	q.expiry.add(it)
 }
 
 func (q *Queue) dequeue(it *item) {
-	q.classes[it.work.Class].remove(it)
+	q.classes[it.req.Class].remove(it)
 	q.expiry.remove(it)
 	q.queued--
-	q.queuedCost -= charged(it.work.Cost)
-	it.place = placeNone
+	q.queuedCost -= chargedCost(it.req.Cost)
+	it.phase = phaseNone
 }
 
-// expiryOf returns when queued work is dropped and why.
-func (q *Queue) expiryOf(w Request) (burdockclock.Millis, Reason) {
-	expires, reason := never, ReasonNone
-	if bound := q.classes[w.Class].cfg.MaxWait; bound > 0 {
-		expires, reason = w.Arrived+bound, ReasonWaitExceeded
+// expiryOf returns when a request is dropped if it is still queued, and why.
+func (q *Queue) expiryOf(req Request) (burdockclock.Millis, Reason) {
+	expiresAt, reason := never, ReasonNone
+	if maxWait := q.classes[req.Class].cfg.MaxWait; maxWait > 0 {
+		expiresAt, reason = req.Arrived+maxWait, ReasonWaitExceeded
 	}
-	if w.Deadline > 0 {
-		if latest := w.Deadline - q.serviceMillis(w) + 1; latest < expires {
-			expires, reason = latest, ReasonDeadline
+	if req.Deadline > 0 {
+		if latest := req.Deadline - q.serviceMillis(req) + 1; latest < expiresAt {
+			expiresAt, reason = latest, ReasonDeadline
 		}
 	}
-	return expires, reason
+	return expiresAt, reason
 }
 
 // start gives a slot to an item that is not queued.
 func (q *Queue) start(it *item) {
-	q.permitted = false
-	it.place, it.started = placeRunning, q.now
-	it.ends = q.now + q.serviceMillis(it.work)
+	q.probeAllowed = false
+	it.phase, it.started = phaseRunning, q.now
+	it.expectedEnd = q.now + q.serviceMillis(it.req)
 	q.running.add(it)
-	q.service.begin(it.work.Cost, it.started)
-	q.classes[it.work.Class].service.begin(it.work.Cost, it.started)
-	q.classes[it.work.Class].charge(q.now, it.flow, it.work.Cost)
+	q.service.begin(it.req.Cost, it.started)
+	q.classes[it.req.Class].service.begin(it.req.Cost, it.started)
+	q.classes[it.req.Class].charge(q.now, it.flow, it.req.Cost)
 	q.counts.started++
-	q.note(it.work, OutcomeStart, ReasonNone, q.now-it.work.Arrived)
+	q.logDecision(it.req, OutcomeStart, ReasonNone, q.now-it.req.Arrived)
 }
 
-// stop takes the slot from a running item.
+// stop releases the slot of a running item.
 func (q *Queue) stop(it *item, served burdockid.Tokens) {
 	q.running.remove(it)
-	q.service.end(it.work.Cost, it.started)
-	q.classes[it.work.Class].service.end(it.work.Cost, it.started)
-	q.classes[it.work.Class].release(it.flow, it.work.Cost, served)
-	it.place = placeNone
-	delete(q.items, it.work.ID)
+	q.service.end(it.req.Cost, it.started)
+	q.classes[it.req.Class].service.end(it.req.Cost, it.started)
+	q.classes[it.req.Class].release(it.flow, it.req.Cost, served)
+	it.phase = phaseNone
+	delete(q.items, it.req.ID)
 }
 
-// drop takes a queued item out for good.
+// drop removes a queued item without running it.
 func (q *Queue) drop(it *item, reason Reason) Dropped {
 	q.dequeue(it)
-	delete(q.items, it.work.ID)
+	delete(q.items, it.req.ID)
 	q.counts.dropped[reason]++
-	after := q.retryAfter(it.work, reason, q.expectedWait(it.work))
-	q.note(it.work, OutcomeDrop, reason, after)
-	return Dropped{ID: it.work.ID, Reason: reason, RetryAfter: after}
+	after := q.retryAfter(it.req, reason, q.expectedWait(it.req))
+	q.logDecision(it.req, OutcomeDrop, reason, after)
+	return Dropped{ID: it.req.ID, Reason: reason, RetryAfter: after}
 }
 
-// expire drops what has waited too long, and what is bound to.
+// expire drops queued requests that have expired or are expected to expire before they
+// start.
 func (q *Queue) expire(events []Event) []Event {
 	for {
 		it, ok := q.expiry.first()
-		if !ok || it.judgeAt > q.now {
+		if !ok || it.recheckAt > q.now {
 			return events
 		}
-		if it.expires <= q.now || q.lateFor(it) {
+		if it.expiresAt <= q.now || q.expectedToExpire(it) {
 			events = append(events, q.drop(it, it.expiryReason))
 			continue
 		}
-		it.judgeAt = q.nextLook(it)
+		it.recheckAt = q.nextRecheck(it)
 		q.expiry.fix(it)
 	}
 }
 
-// leastLook is the time left below which work is not judged again before it
-// expires, which bounds the looks at one request to the logarithm of its wait.
-const leastLook = burdockclock.Second / 2
+// minRecheckInterval is the remaining time below which a request is not rechecked before
+// it expires. It bounds the rechecks of one request to the logarithm of its wait.
+const minRecheckInterval = burdockclock.Second / 2
 
-// nextLook returns when queued work is judged again: when half of the time left
-// to it has passed.
-func (q *Queue) nextLook(it *item) burdockclock.Millis {
-	if it.expires == never || it.expires-q.now <= leastLook {
-		return it.expires
+// nextRecheck returns when a queued request is checked again: after half of its remaining
+// time.
+func (q *Queue) nextRecheck(it *item) burdockclock.Millis {
+	if it.expiresAt == never || it.expiresAt-q.now <= minRecheckInterval {
+		return it.expiresAt
 	}
-	return q.now + (it.expires-q.now)/2
+	return q.now + (it.expiresAt-q.now)/2
 }
 
-// lateFor reports whether queued work is not expected to start before it
-// expires.
+// expectedToExpire reports whether a queued request is expected to expire before it can
+// start.
 //
-// Load: an engine that became slower, or more urgent work that came later.
-// Harm prevented: the caller waits for the rest of its time for a refusal that
-// could be foreseen.
-func (q *Queue) lateFor(it *item) bool {
+// That happens when the engine has become slower or more urgent requests have arrived
+// since it was admitted. Without the check, the caller would wait for a refusal that is
+// already foreseeable.
+func (q *Queue) expectedToExpire(it *item) bool {
 	if q.paused {
 		return false
 	}
-	c := q.classes[it.work.Class]
-	others := c.queuedCost - charged(it.work.Cost)
-	inClass := c.tokensUntil(it.flow.startTag(it), c.activeWeight, others)
-	return q.now+q.timeToServe(it.work.Class, inClass) >= it.expires
+	c := q.classes[it.req.Class]
+	others := c.queuedCost - chargedCost(it.req.Cost)
+	inClass := c.tokensBeforeTag(it.flow.startTag(it), c.activeWeight, others)
+	return q.now+q.timeToServe(it.req.Class, inClass) >= it.expiresAt
 }
 
-// startOrDrop starts the work whose turn it is, unless its deadline can no
-// longer be met.
+// startOrDrop starts the picked item, or drops it if it can no longer meet its deadline.
 //
-// Load: a backlog, or an engine that became slower since the work was
-// admitted. Harm prevented: slots spent on answers that come too late for
-// anybody, which keeps every later request late as well.
+// With a backlog, or an engine that has become slower since the request was admitted,
+// slots would be spent on answers that come too late to be used, and every later request
+// would be late as well.
 func (q *Queue) startOrDrop(it *item) Event {
-	if q.deadlineLost(it.work) {
+	if q.missesDeadline(it.req) {
 		return q.drop(it, ReasonDeadline)
 	}
-	q.checkOrder(it.work.Class)
+	q.checkOrder(it.req.Class)
 	q.dequeue(it)
 	q.start(it)
-	q.checkShare(it.flow, it.work.Class)
-	return Started{ID: it.work.ID}
+	q.checkShare(it.flow, it.req.Class)
+	return Started{ID: it.req.ID}
 }
