--- a/internal/measure/burdockplacelab/command.go
+++ b/internal/measure/burdockplacelab/command.go
@@ -55,7 +55,8 @@
 	}
 }
 
-// choosePolicies returns the policies with the names in list, or all of them.
+// choosePolicies returns the policies with the names in the comma-separated list, or
+// all policies if it is empty.
 func choosePolicies(list string) ([]Policy, error) {
 	if list == "" {
 		return Policies(), nil
@@ -85,7 +86,7 @@
 	return table.Flush()
 }
 
-// check finds values that no run can be made with.
+// check returns an error if the options are out of range.
 func (o Options) check() error {
 	switch {
 	case o.Replicas < 1 || o.Entries < 1 || o.DataCentres < 1 || o.Slots < 1 || o.PrefixesPerReplica < 1:
--- a/internal/measure/burdockplacelab/entry.go
+++ b/internal/measure/burdockplacelab/entry.go
@@ -8,7 +8,8 @@
 	"burdockbend.example/burdockbend/internal/decide/burdockretry"
 )
 
-// entry holds the project's own decisions at one entry.
+// entry holds the decision components of one entry: placement, ejection and retry
+// budget.
 type entry struct {
 	placer  *burdockplace.Placer
 	tracker *burdockeject.Tracker
@@ -16,11 +17,11 @@
 }
 
 func newEntry(o Options, i int, members []burdockplace.Member) *entry {
-	part := partEntries + uint64(i)*partsOfEntry
+	stream := streamEntries + uint64(i)*streamsPerEntry
 	e := &entry{
-		placer:  burdockplace.New(o.PlacerConfig, source(o, part)),
-		tracker: burdockeject.New(burdockeject.Config{}, source(o, part+1)),
-		budget:  burdockretry.New(burdockretry.Config{}, source(o, part+2)),
+		placer:  burdockplace.New(o.PlacerConfig, randomStream(o, stream)),
+		tracker: burdockeject.New(burdockeject.Config{}, randomStream(o, stream+1)),
+		budget:  burdockretry.New(burdockretry.Config{}, randomStream(o, stream+2)),
 	}
 	e.placer.SetMembers(0, members)
 	names := make([]burdockid.Upstream, len(members))
@@ -31,21 +32,21 @@
 	return e
 }
 
-// choose returns the replica that the request is offered to.
-func (e *entry) choose(w *world, req *request) int {
-	if probed, ok := e.tracker.NextProbe(w.now); ok {
+// choose returns the replica to offer the request to, or noReplica.
+func (e *entry) choose(s *simulation, req *request) int {
+	if probed, ok := e.tracker.NextProbe(s.now); ok {
 		req.maxLoad = 0
-		e.placer.Sent(w.now, probed, req.output)
-		return w.indexOf[probed]
+		e.placer.Sent(s.now, probed, req.output)
+		return s.indexOf[probed]
 	}
-	choice, ok := e.placer.Choose(w.now, burdockplace.Request{
+	choice, ok := e.placer.Choose(s.now, burdockplace.Request{
 		Prefix:     req.prefix,
-		DataCentre: w.entryDataCentre(req.entry),
+		DataCentre: s.entryDataCentre(req.entry),
 		Cost:       req.promptTokens() + req.output,
 		Attempt:    req.offers - req.unreached,
 		Exclude: func(u burdockid.Upstream) bool {
 			for _, i := range req.refused {
-				if w.names[i] == u {
+				if s.names[i] == u {
 					return true
 				}
 			}
@@ -53,21 +54,21 @@
 		},
 	})
 	if !ok {
-		return nowhere
+		return noReplica
 	}
 	req.maxLoad = choice.MaxLoad
-	e.placer.Sent(w.now, choice.Upstream, req.output)
-	return w.indexOf[choice.Upstream]
+	e.placer.Sent(s.now, choice.Upstream, req.output)
+	return s.indexOf[choice.Upstream]
 }
 
-// ejected returns the mean over entries of the work that they withhold.
-func (w *world) ejected() float64 {
+// ejectedReplicas returns Result.EjectedReplicas.
+func (s *simulation) ejectedReplicas() float64 {
 	sum := 0.0
-	for _, e := range w.entries {
+	for _, e := range s.entries {
 		state := e.tracker.State()
 		sum += state.RemovedWeightSlow + state.RemovedWeightFailing
 	}
-	return sum / float64(max(len(w.entries), 1))
+	return sum / float64(max(len(s.entries), 1))
 }
 
 func (e *entry) observe(now burdockclock.Millis, u burdockid.Upstream, o burdockeject.Observation) {
@@ -76,8 +77,8 @@
 	}
 }
 
-// again reports whether the request is offered again after the outcome.
-func (e *entry) again(now burdockclock.Millis, req *request, outcome burdockretry.Outcome) bool {
+// shouldRetry reports whether to offer the request again after the outcome.
+func (e *entry) shouldRetry(now burdockclock.Millis, req *request, outcome burdockretry.Outcome) bool {
 	_, retry := e.budget.Decide(now, burdockretry.Attempt{
 		Outcome:       outcome,
 		Offers:        req.offers,
--- a/internal/measure/burdockplacelab/event.go
+++ b/internal/measure/burdockplacelab/event.go
@@ -9,23 +9,24 @@
 	"burdockbend.example/burdockbend/internal/decide/burdockretry"
 )
 
-// event is something that happens at an instant: one of the types below.
+// event is a simulated event, one of the types below.
 type event interface{ event() }
 
-// arrival is a request that reaches its entry.
+// arrival is the arrival of a request at its entry.
 type arrival struct {
 	req *request
-	// first tells a new conversation; the next one is drawn when it comes.
-	first bool
+	// startsConversation is set on the first turn of a conversation that starts during
+	// the run. Its arrival schedules the next new conversation.
+	startsConversation bool
 }
 
-// offer is a request that reaches a replica.
+// offer is the arrival of a request at a replica.
 type offer struct {
 	req     *request
 	replica int
 }
 
-// refusal reaches the entry of a request.
+// refusal is the arrival of a replica's refusal at the request's entry.
 type refusal struct {
 	req     *request
 	replica int
@@ -33,93 +34,93 @@
 	outcome burdockretry.Outcome
 }
 
-// broken is a connection that breaks under a request.
-type broken struct {
+// connectionLost tells a request's entry that the connection to the replica broke.
+type connectionLost struct {
 	req     *request
 	replica int
 }
 
-// losing and returning are the ends of a data centre's outage.
+// outageStart and outageEnd delimit the outage of a data centre.
 type (
-	losing    struct{}
-	returning struct{}
+	outageStart struct{}
+	outageEnd   struct{}
 )
 
-// finish is the end of the work on a request at its replica.
+// finish is the completion of a request at its replica.
 type finish struct {
-	req     *request
-	replica int
-	took    burdockclock.Millis
+	req      *request
+	replica  int
+	duration burdockclock.Millis
 }
 
-// hearing is a report that reaches an entry with an answer.
-type hearing struct {
+// loadReport is the arrival at an entry of the load report that an answer carries.
+type loadReport struct {
 	entry   int
 	replica int
 	report  burdockplace.Report
-	// ended is what the entry may judge the replica by once the answer has
-	// ended, and nil before.
-	ended *burdockeject.Completed
+	// answered is the observation of a completed answer. It is nil for the report
+	// sent when the answer begins.
+	answered *burdockeject.Completed
 }
 
-// sampling is the time to look at all loads.
-type sampling struct{}
+// sampleTick records the loads of all replicas.
+type sampleTick struct{}
 
-// refreshing is the time at which the loads that everyone sees are renewed.
-type refreshing struct{}
+// refreshTick renews the snapshot of loads that the simple policies use.
+type refreshTick struct{}
 
-func (arrival) event()    {}
-func (offer) event()      {}
-func (refusal) event()    {}
-func (broken) event()     {}
-func (losing) event()     {}
-func (returning) event()  {}
-func (finish) event()     {}
-func (hearing) event()    {}
-func (sampling) event()   {}
-func (refreshing) event() {}
+func (arrival) event()        {}
+func (offer) event()          {}
+func (refusal) event()        {}
+func (connectionLost) event() {}
+func (outageStart) event()    {}
+func (outageEnd) event()      {}
+func (finish) event()         {}
+func (loadReport) event()     {}
+func (sampleTick) event()     {}
+func (refreshTick) event()    {}
 
-type timed struct {
+type scheduledEvent struct {
 	at    burdockclock.Millis
-	order uint64 // of two at one instant, the one that was scheduled first
+	seq   uint64 // orders events at the same instant by when they were scheduled
 	event event
 }
 
-// agenda holds the events to come.
-type agenda struct {
-	list  timedHeap
-	order uint64
+// eventQueue holds the pending events in order of time.
+type eventQueue struct {
+	pending eventHeap
+	seq     uint64
 }
 
-func (a *agenda) add(at burdockclock.Millis, e event) {
-	a.order++
-	heap.Push(&a.list, timed{at: at, order: a.order, event: e})
+func (q *eventQueue) add(at burdockclock.Millis, e event) {
+	q.seq++
+	heap.Push(&q.pending, scheduledEvent{at: at, seq: q.seq, event: e})
 }
 
-func (a *agenda) next() timed { return heap.Pop(&a.list).(timed) }
+func (q *eventQueue) next() scheduledEvent { return heap.Pop(&q.pending).(scheduledEvent) }
 
-// timedHeap implements heap.Interface.
-type timedHeap []timed
+// eventHeap implements heap.Interface.
+type eventHeap []scheduledEvent
 
 // Len implements heap.Interface.
-func (h timedHeap) Len() int { return len(h) }
+func (h eventHeap) Len() int { return len(h) }
 
 // Less implements heap.Interface.
-func (h timedHeap) Less(i, j int) bool {
+func (h eventHeap) Less(i, j int) bool {
 	if h[i].at != h[j].at {
 		return h[i].at < h[j].at
 	}
-	return h[i].order < h[j].order
+	return h[i].seq < h[j].seq
 }
 
 // Swap implements heap.Interface.
-func (h timedHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
 // Push implements heap.Interface.
-func (h *timedHeap) Push(x any) { *h = append(*h, x.(timed)) }
+func (h *eventHeap) Push(x any) { *h = append(*h, x.(scheduledEvent)) }
 
 // Pop implements heap.Interface.
-func (h *timedHeap) Pop() any {
+func (h *eventHeap) Pop() any {
 	last := len(*h) - 1
 	popped := (*h)[last]
 	*h = (*h)[:last]
--- a/internal/measure/burdockplacelab/fault.go
+++ b/internal/measure/burdockplacelab/fault.go
@@ -1,72 +1,77 @@
 package burdockplacelab
 
-// Scenario is what goes wrong during a run.
+// Scenario is the fault that occurs during a run.
 type Scenario string
 
 // Scenarios.
 const (
-	// Steady: nothing goes wrong.
+	// Steady has no fault.
 	Steady Scenario = "steady"
-	// SlowReplicas: one replica in a hundred, and at least one, takes four times as
-	// long for each token, from the start.
+	// SlowReplicas makes one replica in a hundred, and at least one, take four times
+	// as long for each request, from the start of the run.
 	SlowReplicas Scenario = "slow"
-	// LostDataCentre: the replicas of one data centre are gone for the second quarter of
-	// the measured span, then come back all at once with empty caches.
+	// LostDataCentre takes down the replicas of one data centre for the second
+	// quarter of the measured time. They come back together with empty caches.
 	LostDataCentre Scenario = "lost"
 )
 
 const (
-	slowOneIn  = 100
-	slowFactor = 4
-	// queueSlots bounds a replica's queue, in multiples of its slots. Beyond it
-	// an offer is refused as not run.
-	queueSlots = 1
-	// naiveOffers is how often the simple policies offer a request.
-	naiveOffers = 4
-	// downLoad keeps perfect knowledge from choosing a replica that is gone.
-	downLoad = 1000
+	slowReplicaInterval = 100
+	slowFactor          = 4
+	// maxQueuePerSlot bounds a replica's queue, as a multiple of its slots. Offers
+	// beyond it are refused as not run.
+	maxQueuePerSlot = 1
+	// simplePolicyOffers is how many times the policies other than EntryPlacer offer
+	// a request.
+	simplePolicyOffers = 4
+	// downPenalty is added to the load of a replica that is down, so that
+	// PerfectKnowledge does not choose it.
+	downPenalty = 1000
 )
 
-// slow reports whether the replica is one of the slow ones.
-func (w *world) slow(i int) bool { return w.o.Scenario == SlowReplicas && i%slowOneIn == 0 }
+// isSlow reports whether the replica is one of the slow ones.
+func (s *simulation) isSlow(i int) bool {
+	return s.o.Scenario == SlowReplicas && i%slowReplicaInterval == 0
+}
 
-// fails reports whether the replica is in the data centre that is lost.
-func (w *world) fails(i int) bool {
-	return w.o.Scenario == LostDataCentre && w.replicaDataCentre(i) == w.dataCentre(0)
+// inLostDataCentre reports whether the replica is in the data centre that fails.
+func (s *simulation) inLostDataCentre(i int) bool {
+	return s.o.Scenario == LostDataCentre && s.replicaDataCentre(i) == s.dataCentre(0)
 }
 
-func (w *world) scheduleFaults() {
-	if w.o.Scenario != LostDataCentre {
+func (s *simulation) scheduleFaults() {
+	if s.o.Scenario != LostDataCentre {
 		return
 	}
-	w.agenda.add(w.o.WarmUp+w.o.Measured/4, losing{})
-	w.agenda.add(w.o.WarmUp+w.o.Measured/2, returning{})
+	s.events.add(s.o.WarmUp+s.o.Measured/4, outageStart{})
+	s.events.add(s.o.WarmUp+s.o.Measured/2, outageEnd{})
 }
 
-func (w *world) handleLosing() {
-	for i := range w.replicas {
-		if w.fails(i) {
-			w.lose(i)
+func (s *simulation) handleOutageStart() {
+	for i := range s.replicas {
+		if s.inLostDataCentre(i) {
+			s.failReplica(i)
 		}
 	}
 }
 
-// lose cuts off all that a replica holds.
-func (w *world) lose(i int) {
-	r := &w.replicas[i]
+// failReplica takes down the replica, breaks the connections of its requests and
+// drops its cache.
+func (s *simulation) failReplica(i int) {
+	r := &s.replicas[i]
 	for _, req := range append(r.active, r.queue...) {
-		w.levels.change(i, -1)
-		w.agenda.add(w.now+w.way(req.entry, i), broken{req, i})
+		s.trueLoads.change(i, -1)
+		s.events.add(s.now+s.networkDelay(req.entry, i), connectionLost{req, i})
 	}
-	w.levels.change(i, downLoad)
-	*r = replica{slots: r.slots, cache: newCache(w.o.CacheTokens), down: true}
+	s.trueLoads.change(i, downPenalty)
+	*r = replica{slots: r.slots, cache: newCache(s.o.CacheTokens), down: true}
 }
 
-func (w *world) handleReturning() {
-	for i := range w.replicas {
-		if w.replicas[i].down {
-			w.replicas[i].down = false
-			w.levels.change(i, -downLoad)
+func (s *simulation) handleOutageEnd() {
+	for i := range s.replicas {
+		if s.replicas[i].down {
+			s.replicas[i].down = false
+			s.trueLoads.change(i, -downPenalty)
 		}
 	}
 }
--- a/internal/measure/burdockplacelab/lab.go
+++ b/internal/measure/burdockplacelab/lab.go
@@ -1,9 +1,9 @@
-// Package burdockplacelab measures how requests are placed, beside simple
-// policies and beside perfect knowledge.
+// Package burdockplacelab compares the entries' placement of requests with simple
+// policies and with a policy that knows all loads.
 //
-// It drives the project's pure placing package against replicas that are no
-// more than a queue, some slots and a bounded cache of prefixes, in simulated
-// time. The same seed gives every policy the same requests.
+// It runs the decision packages of an entry in simulated time against modelled
+// replicas, each of which has a queue, slots and a bounded prefix cache. For a
+// given seed, all policies get the same requests.
 package burdockplacelab
 
 import (
@@ -14,35 +14,36 @@
 	"burdockbend.example/burdockbend/internal/decide/burdockplace"
 )
 
-// Options are the values of one run.
+// Options are the settings of one run.
 type Options struct {
 	Replicas    int
 	Entries     int
 	DataCentres int
-	// Lag is how old a load report is when an entry gets it.
+	// Lag is the age of a load report when an entry receives it.
 	Lag burdockclock.Millis
-	// Seed determines every request and every random choice.
+	// Seed seeds all random numbers of the run.
 	Seed uint64
-	// Slots is how many requests a replica works on together.
+	// Slots is the number of requests that a replica runs concurrently.
 	Slots int
-	// Utilisation is the share of all slots that the requests fill on average.
+	// Utilisation is the average share of all slots that the requests occupy.
 	Utilisation float64
 	Scenario    Scenario
-	// PrefixesPerReplica is how many system prompts there are for each replica.
+	// PrefixesPerReplica is the number of distinct system prompts per replica.
 	PrefixesPerReplica int
-	// Skew is the exponent of the Zipf law by which requests choose a system
-	// prompt: 0 is even.
+	// Skew is the exponent of the Zipf distribution of system prompts over requests;
+	// 0 is uniform.
 	Skew float64
-	// CacheTokens is how much of prefixes one replica keeps.
+	// CacheTokens is the capacity of a replica's prefix cache.
 	CacheTokens burdockid.Tokens
-	// WarmUp and Measured are the spans before and during which is measured.
+	// WarmUp is the simulated time before measuring starts, Measured the time that is
+	// measured.
 	WarmUp   burdockclock.Millis
 	Measured burdockclock.Millis
-	// PlacerConfig is the configuration of the project's own placer.
+	// PlacerConfig configures the placers of EntryPlacer.
 	PlacerConfig burdockplace.Config
 }
 
-// DefaultOptions returns the values of a small site of today.
+// DefaultOptions returns the settings of a small present-day site.
 func DefaultOptions() Options {
 	return Options{
 		Replicas:           16,
@@ -61,57 +62,61 @@
 	}
 }
 
-// Result is what one policy reached. Loads are requests held for each slot.
+// Result holds the measurements of one policy. Loads are requests per slot, running
+// and queued.
 type Result struct {
 	Policy  string
 	LoadP50 float64
 	LoadP99 float64
 	LoadMax float64
-	// Spread is the standard deviation of load over the replicas at one
-	// instant, divided by their mean, averaged over all instants.
+	// Spread is the coefficient of variation of the replicas' loads at one instant
+	// (standard deviation divided by mean), averaged over the samples.
 	Spread float64
-	// Waits run from the caller's request to the start of its work.
+	// WaitP50 and WaitP99 are times from a request's arrival at its entry until a
+	// replica starts it.
 	WaitP50 burdockclock.Millis
 	WaitP99 burdockclock.Millis
-	// HitRate is the share of prompt tokens that were found in a cache.
+	// HitRate is the share of prompt tokens found in a cache.
 	HitRate float64
-	// Offers is the mean number of offers for each request.
+	// Offers is the mean number of offers per request.
 	Offers float64
 	// RemoteShare is the share of requests that ran in another data centre.
 	RemoteShare float64
 	// SlowShare is the share of requests that ran on a slow replica.
 	SlowShare float64
-	// EjectedReplicas is how many whole replicas' work an entry withholds at the end,
-	// averaged over entries.
+	// EjectedReplicas is the capacity that an entry withholds by ejection at the end
+	// of the run, in replicas, averaged over entries.
 	EjectedReplicas float64
-	// Requests counts those whose work began; Interrupted those that were cut off in
-	// their work or their queue; Refused those refused for good.
+	// Requests counts the requests that a replica started, Interrupted those whose
+	// replica went down while they ran or were queued, and Refused those that were
+	// refused and not offered again.
 	Requests    int
 	Interrupted int
 	Refused     int
 }
 
-// Run measures one policy.
+// Run simulates one policy and returns its measurements.
 func Run(o Options, p Policy) Result {
-	w := newWorld(o, p)
-	w.run()
-	return w.result()
+	s := newSimulation(o, p)
+	s.run()
+	return s.result()
 }
 
-// source returns the random source of one part of a run. Parts do not share
-// one, so that a policy that draws more does not change the requests.
-func source(o Options, part uint64) *rand.Rand {
-	return rand.New(rand.NewPCG(o.Seed, part))
+// randomStream returns the source of random numbers of one part of a run. Parts have
+// separate streams, so that the number of values a policy draws does not change
+// the requests.
+func randomStream(o Options, stream uint64) *rand.Rand {
+	return rand.New(rand.NewPCG(o.Seed, stream))
 }
 
-// Parts of a run that draw random numbers.
+// Numbers of the random streams.
 const (
-	partWorkload uint64 = iota
-	partPolicy
-	partEntries // and one for each entry from here on
-	// partTurns has one for each turn of each conversation from here on.
-	partTurns uint64 = 1 << 32
-	// partsOfEntry is how many an entry has.
-	partsOfEntry = 4
-	turnBits     = 10
+	streamWorkload uint64 = iota
+	streamPolicy
+	streamEntries // first stream of the first entry
+	// streamTurns is the first of the streams of conversation turns.
+	streamTurns uint64 = 1 << 32
+	// streamsPerEntry is the number of streams reserved for one entry.
+	streamsPerEntry = 4
+	turnBits        = 10
 )
--- a/internal/measure/burdockplacelab/lab_test.go
+++ b/internal/measure/burdockplacelab/lab_test.go
@@ -17,7 +17,7 @@
 	burdockgolden.Compare(t, "placing", out.String())
 }
 
-func TestCommandRejectsValuesThatNoRunCanUse(t *testing.T) {
+func TestCommandRejectsBadOptions(t *testing.T) {
 	for _, args := range [][]string{{"-replicas", "0"}, {"-utilisation", "0"}, {"-lag", "-1"}, {"-seconds", "0"}, {"-policies", "best"}} {
 		if err := Command(&bytes.Buffer{}).ParseAndRun(context.Background(), args); err == nil {
 			t.Errorf("%v: no error, want one", args)
@@ -25,7 +25,7 @@
 	}
 }
 
-func quick(replicas, entries int, s Scenario) Options {
+func testOptions(replicas, entries int, s Scenario) Options {
 	o := DefaultOptions()
 	o.Replicas, o.Entries, o.Scenario = replicas, entries, s
 	return o
@@ -33,7 +33,7 @@
 
 func TestLoadIsNearPerfectKnowledge(t *testing.T) {
 	for _, skew := range []float64{0, 1, 1.3} {
-		o := quick(64, 12, Steady)
+		o := testOptions(64, 12, Steady)
 		o.Skew = skew
 		got, perfect := Run(o, EntryPlacer{}), Run(o, PerfectKnowledge{})
 		if want := 1.1 * perfect.LoadP99; got.LoadP99 > want {
@@ -45,11 +45,11 @@
 	}
 }
 
-// Reports are five seconds old. Entries that all chose the least loaded by
-// such views would send everything to the same upstream until the next report.
-// The callers' wait must stay far below that of the least of all.
-func TestLaggingLoadDoesNotHerd(t *testing.T) {
-	o := quick(64, 12, Steady)
+// Load reports are five seconds old. Entries that all choose the least loaded replica
+// by such reports send everything to the same one until the next report. Waits
+// must stay far below those of the LeastLoaded policy, which does this.
+func TestStaleLoadReportsDoNotHerd(t *testing.T) {
+	o := testOptions(64, 12, Steady)
 	o.Lag = 5000
 	got, herding := Run(o, EntryPlacer{}), Run(o, LeastLoaded{})
 	if want := herding.WaitP99 / 10; got.WaitP99 > want {
@@ -57,46 +57,45 @@
 	}
 }
 
-// One replica works at a quarter of the pace of its peers. Requests that are
-// sent there take four times as long. Judged by its own answers, it must get
-// less than the third of its share that its occupied slots alone would leave.
-func TestSlowReplicaGetsLittle(t *testing.T) {
-	got := Run(quick(64, 6, SlowReplicas), EntryPlacer{})
+// One replica is four times slower than the others. Its occupied slots alone would
+// cut its share of the requests to a third; ejection by its response times must
+// take it lower still.
+func TestSlowReplicaGetsFewRequests(t *testing.T) {
+	got := Run(testOptions(64, 6, SlowReplicas), EntryPlacer{})
 	if share := 1.0 / 64; got.SlowShare > share/3 {
 		t.Errorf("share of requests on the slow replica = %v, want at most %v", got.SlowShare, share/3)
 	}
 }
 
-// A data centre of three is lost at once with all that runs there, and comes
-// back at once. What ran there is cut, and its callers are told. Everything
-// that arrives later must go to the rest; while the rest has room, no caller
-// may be given up.
-func TestDataCentreLostAndBack(t *testing.T) {
-	o := quick(63, 6, LostDataCentre)
+// One of three data centres goes down with all its replicas and later comes back.
+// The requests that ran there are interrupted. All later ones must go to the other
+// replicas, and as long as these have capacity no request may be refused for good.
+func TestDataCentreOutage(t *testing.T) {
+	o := testOptions(63, 6, LostDataCentre)
 	o.Utilisation = 0.5
 	got := Run(o, EntryPlacer{})
 	if got.Refused > 0 {
-		t.Errorf("given up = %d of %d, want none while two thirds have room", got.Refused, got.Requests)
+		t.Errorf("refused requests = %d of %d, want none while two data centres have capacity", got.Refused, got.Requests)
 	}
 	if got.Interrupted == 0 {
-		t.Error("nothing was cut, want the running requests of the lost third")
+		t.Error("interrupted requests = 0, want the running requests of the lost data centre")
 	}
 }
 
-// Demand is twice what the replicas can do, for two minutes. Queues fill, then
-// nearly all refuse. The work done must stay that of full replicas, and an
-// entry must stop offering one request around among upstreams that are full.
-func TestAllRefuse(t *testing.T) {
-	o := quick(16, 3, Steady)
+// The load is twice the capacity for two minutes. The queues fill up, then nearly all
+// replicas refuse. All slots must stay in use, and an entry must not offer a
+// request to one full replica after another.
+func TestOverload(t *testing.T) {
+	o := testOptions(16, 3, Steady)
 	o.Utilisation = 2
 	got := Run(o, EntryPlacer{})
 	if got.LoadP50 < 1 {
 		t.Errorf("p50 of load = %v, want every slot taken", got.LoadP50)
 	}
 	if got.Refused == 0 {
-		t.Error("nobody was given up, want about half of all")
+		t.Error("refused requests = 0, want about half of all")
 	}
 	if want := 4.0; got.Offers > want {
-		t.Errorf("offers a request = %v, want at most %v", got.Offers, want)
+		t.Errorf("offers per request = %v, want at most %v", got.Offers, want)
 	}
 }
--- a/internal/measure/burdockplacelab/policy.go
+++ b/internal/measure/burdockplacelab/policy.go
@@ -2,31 +2,31 @@
 
 import "math/rand/v2"
 
-// Policy chooses the replica of a request: one of the types below.
+// Policy determines how the replica of a request is chosen: one of the types below.
 type Policy interface{ policy() }
 
-// EntryPlacer is the project's own placer, one at each entry, which knows only what
-// the answers and refusals to its own requests tell.
+// EntryPlacer runs the placer of package burdockplace at each entry. Each one knows
+// only what the answers and refusals to its own requests report.
 type EntryPlacer struct{}
 
-// Random takes any replica.
+// Random chooses a replica at random.
 type Random struct{}
 
-// RoundRobin takes each replica in turn, at each entry from another start.
+// RoundRobin chooses each replica in turn, from a random start at each entry.
 type RoundRobin struct{}
 
-// TwoChoices takes the less loaded of two random replicas, by loads that are
-// renewed for all entries once in each lag.
+// TwoChoices chooses the less loaded of two random replicas, by a snapshot of all
+// loads that is renewed once per Options.Lag and shared by all entries.
 type TwoChoices struct{}
 
-// LeastLoaded takes the least loaded of all by the same loads.
+// LeastLoaded chooses the least loaded replica by the same snapshot.
 type LeastLoaded struct{}
 
-// Affinity takes the replica that the prefix hashes to, whatever its load.
+// Affinity chooses the replica that the prefix hashes to, whatever its load.
 type Affinity struct{}
 
-// PerfectKnowledge takes the least loaded of all by their true loads, counting what is
-// on its way; among those, one that keeps the prefix.
+// PerfectKnowledge chooses the least loaded replica by the true loads, including
+// offers in transit, and among equals the one that has most of the prompt cached.
 type PerfectKnowledge struct{}
 
 func (EntryPlacer) policy()      {}
@@ -37,7 +37,7 @@
 func (Affinity) policy()         {}
 func (PerfectKnowledge) policy() {}
 
-// Policies returns all of them in the order in which they are printed.
+// Policies returns all policies in the order in which they are printed.
 func Policies() []Policy {
 	return []Policy{
 		EntryPlacer{}, Random{}, RoundRobin{}, TwoChoices{}, LeastLoaded{}, Affinity{}, PerfectKnowledge{},
@@ -65,46 +65,46 @@
 	}
 }
 
-// nowhere is the choice when there is none.
-const nowhere = -1
+// noReplica is the result of a choice when no replica is available.
+const noReplica = -1
 
-// choose returns the replica that the request is offered to.
-func (w *world) choose(req *request) int {
-	switch w.policy.(type) {
+// choose returns the replica to offer the request to, or noReplica.
+func (s *simulation) choose(req *request) int {
+	switch s.policy.(type) {
 	case EntryPlacer:
-		return w.entries[req.entry].choose(w, req)
+		return s.entries[req.entry].choose(s, req)
 	case Random:
-		return w.rnd.IntN(len(w.replicas))
+		return s.rnd.IntN(len(s.replicas))
 	case RoundRobin:
-		w.turns[req.entry]++
-		return w.turns[req.entry] % len(w.replicas)
+		s.roundRobin[req.entry]++
+		return s.roundRobin[req.entry] % len(s.replicas)
 	case TwoChoices:
-		a, b := w.rnd.IntN(len(w.replicas)), w.rnd.IntN(len(w.replicas))
-		if w.stale[b] < w.stale[a] {
+		a, b := s.rnd.IntN(len(s.replicas)), s.rnd.IntN(len(s.replicas))
+		if s.snapshotRequests[b] < s.snapshotRequests[a] {
 			return b
 		}
 		return a
 	case LeastLoaded:
-		return w.leastStale[w.rnd.IntN(len(w.leastStale))]
+		return s.leastLoaded[s.rnd.IntN(len(s.leastLoaded))]
 	case Affinity:
-		return int(req.prefix[0] % uint64(len(w.replicas)))
+		return int(req.prefix[0] % uint64(len(s.replicas)))
 	case PerfectKnowledge:
-		return w.choosePerfect(req)
+		return s.chooseByTrueLoad(req)
 	default:
 		panic("burdockplacelab: unknown policy")
 	}
 }
 
-func (w *world) choosePerfect(req *request) int {
-	lowest := w.levels.lowest()
-	return lowest[least(w.rnd, len(lowest), func(i int) int {
-		return -int(w.replicas[lowest[i]].cache.found(req))
+func (s *simulation) chooseByTrueLoad(req *request) int {
+	lowest := s.trueLoads.lowest()
+	return lowest[randomArgMin(s.rnd, len(lowest), func(i int) int {
+		return -int(s.replicas[lowest[i]].cache.cachedTokens(req))
 	})]
 }
 
-// least returns the index from 0 to n-1 of the lowest value, any of them where
-// several are equal.
-func least(rnd *rand.Rand, n int, value func(int) int) int {
+// randomArgMin returns the index from 0 to n-1 with the lowest value, starting from a
+// random index so that ties do not favour low indexes.
+func randomArgMin(rnd *rand.Rand, n int, value func(int) int) int {
 	start := rnd.IntN(n)
 	best, lowest := start, value(start)
 	for i := 1; i < n; i++ {
--- a/internal/measure/burdockplacelab/replica.go
+++ b/internal/measure/burdockplacelab/replica.go
@@ -8,90 +8,93 @@
 	"burdockbend.example/burdockbend/internal/decide/burdockplace"
 )
 
-// replica is a queue in order of arrival, some slots and a cache.
+// replica models one replica: a first-in, first-out queue, slots and a prefix cache.
 type replica struct {
 	slots  int
 	down   bool
-	active []*request // in the slots
+	active []*request // requests in the slots
 	queue  []*request
 	cache  cache
 }
 
-func (r *replica) held() int { return len(r.active) + len(r.queue) }
+func (r *replica) requests() int { return len(r.active) + len(r.queue) }
 
-func (r *replica) load() float64 { return float64(r.held()) / float64(r.slots) }
+func (r *replica) load() float64 { return float64(r.requests()) / float64(r.slots) }
 
-// takes reports whether the offer stays within the bound that it carries.
-func (r *replica) takes(req *request) bool {
-	return req.maxLoad == 0 || float64(r.held()+1)/float64(r.slots) <= req.maxLoad
+// accepts reports whether the replica's load with req stays within req.maxLoad.
+// A maxLoad of 0 is no bound.
+func (r *replica) accepts(req *request) bool {
+	return req.maxLoad == 0 || float64(r.requests()+1)/float64(r.slots) <= req.maxLoad
 }
 
-func (r *replica) full() bool { return len(r.queue) >= queueSlots*r.slots }
+func (r *replica) queueFull() bool { return len(r.queue) >= maxQueuePerSlot*r.slots }
 
 func (r *replica) report() burdockplace.Report {
-	service := outputTokens * paceMillis / r.slots
+	serviceMillis := outputTokens * millisPerToken / r.slots
 	return burdockplace.Report{
 		Running:      len(r.active),
 		Queued:       len(r.queue),
 		Slots:        r.slots,
-		ExpectedWait: burdockclock.Millis(len(r.queue) * service),
+		ExpectedWait: burdockclock.Millis(len(r.queue) * serviceMillis),
 	}
 }
 
-// cache keeps prefixes up to a bound on tokens and drops the least recently
-// used. A conversation includes its system prompt.
+// cache is a cache of prompt prefixes with a bounded number of tokens and eviction
+// of the least recently used. System prompts and the rest of a conversation have
+// entries of their own.
 type cache struct {
-	bound  burdockid.Tokens
-	tokens burdockid.Tokens
-	order  *list.List // of *cached, the most recently used first
-	byKey  map[uint64]*list.Element
+	capacity burdockid.Tokens
+	tokens   burdockid.Tokens
+	recency  *list.List // of *cacheEntry, most recently used first
+	entries  map[uint64]*list.Element
 }
 
-type cached struct {
+type cacheEntry struct {
 	key    uint64
 	tokens burdockid.Tokens
 }
 
-func newCache(bound burdockid.Tokens) cache {
-	return cache{bound: bound, order: list.New(), byKey: make(map[uint64]*list.Element)}
+func newCache(capacity burdockid.Tokens) cache {
+	return cache{capacity: capacity, recency: list.New(), entries: make(map[uint64]*list.Element)}
 }
 
-// conversationKey sets the keys of conversations apart from system prompts'.
+// conversationKey returns the cache key of a conversation. The top bit keeps it
+// apart from the keys of system prompts.
 func conversationKey(conversation uint64) uint64 { return conversation | 1<<63 }
 
-// found returns how many of the prompt's tokens are kept.
-func (c *cache) found(r *request) burdockid.Tokens {
-	found := c.tokensOf(r.system)
-	return found + c.tokensOf(conversationKey(r.conversation))
+// cachedTokens returns how many tokens of r's prompt are cached.
+func (c *cache) cachedTokens(r *request) burdockid.Tokens {
+	cached := c.tokensOf(r.systemPrompt)
+	return cached + c.tokensOf(conversationKey(r.conversation))
 }
 
 func (c *cache) tokensOf(key uint64) burdockid.Tokens {
-	if element, ok := c.byKey[key]; ok {
-		return element.Value.(*cached).tokens
+	if element, ok := c.entries[key]; ok {
+		return element.Value.(*cacheEntry).tokens
 	}
 	return 0
 }
 
-// keep takes in the prompt of r.
-func (c *cache) keep(r *request) {
-	c.touch(r.system, systemTokens)
-	c.touch(conversationKey(r.conversation), r.promptTokens()-systemTokens)
-	for c.tokens > c.bound {
-		last := c.order.Back()
-		dropped := c.order.Remove(last).(*cached)
-		delete(c.byKey, dropped.key)
-		c.tokens -= dropped.tokens
+// insert caches the prompt of r and evicts entries beyond the capacity.
+func (c *cache) insert(r *request) {
+	c.touch(r.systemPrompt, systemPromptTokens)
+	c.touch(conversationKey(r.conversation), r.promptTokens()-systemPromptTokens)
+	for c.tokens > c.capacity {
+		oldest := c.recency.Back()
+		evicted := c.recency.Remove(oldest).(*cacheEntry)
+		delete(c.entries, evicted.key)
+		c.tokens -= evicted.tokens
 	}
 }
 
 func (c *cache) touch(key uint64, tokens burdockid.Tokens) {
-	element, ok := c.byKey[key]
+	element, ok := c.entries[key]
 	if !ok {
-		element = c.order.PushFront(&cached{key: key})
-		c.byKey[key] = element
+		element = c.recency.PushFront(&cacheEntry{key: key})
+		c.entries[key] = element
 	}
-	kept := element.Value.(*cached)
-	c.tokens += tokens - kept.tokens
-	kept.tokens = tokens
-	c.order.MoveToFront(element)
+	entry := element.Value.(*cacheEntry)
+	c.tokens += tokens - entry.tokens
+	entry.tokens = tokens
+	c.recency.MoveToFront(element)
 }
