--- a/internal/measure/burdockqueuelab/arrivals.go
+++ b/internal/measure/burdockqueuelab/arrivals.go
@@ -10,43 +10,43 @@
 	"burdockbend.example/burdockbend/internal/decide/burdockqueue"
 )
 
-// request is one caller's request as the lab knows it.
+// request is a simulated request with the state of its caller.
 type request struct {
 	work burdockqueue.Request
-	// tokens is what it takes in truth; work.Cost is the estimate.
-	tokens float64
+	// actualTokens is the true cost; work.Cost is the estimate that the queue uses.
+	actualTokens float64
 
-	outcome  outcome
-	attempts int
-	offered  burdockclock.Millis // the instant of the last attempt
-	running  bool                // has ever had a slot
-	started  burdockclock.Millis
-	served   float64 // tokens so far
-	inWindow float64 // tokens served within the measured time
-	// toldAfter is how long the last attempt waited for its refusal.
-	toldAfter burdockclock.Millis
+	outcome        outcome
+	attempts       int
+	lastOffered    burdockclock.Millis // time of the last attempt
+	everStarted    bool                // got a slot, also if it has finished since
+	startedAt      burdockclock.Millis
+	served         float64 // tokens served so far
+	measuredTokens float64 // tokens served within the measured time
+	// timeToRefusal is the time from the last attempt to its refusal.
+	timeToRefusal burdockclock.Millis
 }
 
-// outcome is how a request ended for its caller.
+// outcome is the result of a request for its caller.
 type outcome int
 
 const (
-	outcomeOpen    outcome = iota
-	outcomeInTime          // whole answer by the deadline
-	outcomeCut             // running when the caller hung up
-	outcomeUntold          // queued when the caller hung up
-	outcomeRefused         // told that it was not run, with no time to come back
+	outcomePending     outcome = iota
+	outcomeInTime              // complete answer by the deadline
+	outcomeInterrupted         // running when the caller hung up
+	outcomeUnanswered          // queued when the caller hung up
+	outcomeRefused             // refused, with no attempt or no time left for a retry
 )
 
-// arrivals draws the requests of a scenario in the order of arrival.
+// arrivals generates the requests of the scenario in order of arrival.
 func (l *lab) arrivals() []*request {
 	var all []*request
 	s := l.scenario
 	for class := range s.classes {
-		all = append(all, l.stream(class)...)
+		all = append(all, l.classArrivals(class)...)
 	}
-	if s.returning > 0 {
-		all = append(all, l.comeBack()...)
+	if s.backlogSeconds > 0 {
+		all = append(all, l.backlog()...)
 	}
 	sortByArrival(all)
 	for i, r := range all {
@@ -55,15 +55,16 @@
 	return all
 }
 
-// stream draws one class as a Poisson process, by thinning one at the peak.
-func (l *lab) stream(class int) []*request {
+// classArrivals generates the requests of one class as a Poisson process. A varying
+// rate is produced by thinning a process with the peak rate.
+func (l *lab) classArrivals(class int) []*request {
 	s := l.scenario
 	peak := 1.0
-	if s.factor != nil {
+	if s.loadFactor != nil {
 		peak = burstFactor
 	}
-	parts, total := l.customerParts()
-	perMilli := s.load * total * l.capacity() * s.classes[class].part / s.classes[class].meanTokens
+	loads, total := l.customerLoads()
+	perMilli := s.load * total * l.capacity() * s.classes[class].tokenShare / s.classes[class].meanTokens
 	var all []*request
 	for at := 0.0; ; {
 		at += l.rnd.ExpFloat64() / (perMilli * peak)
@@ -71,71 +72,72 @@
 		if now >= l.cfg.duration {
 			return all
 		}
-		if s.factor != nil && l.rnd.Float64()*peak > s.factor(now, l.cfg.duration) {
+		if s.loadFactor != nil && l.rnd.Float64()*peak > s.loadFactor(now, l.cfg.duration) {
 			continue
 		}
-		all = append(all, l.draw(now, class, l.pickCustomer(parts, total)))
+		all = append(all, l.newRequest(now, class, l.pickCustomer(loads, total)))
 	}
 }
 
-// comeBack draws the work that returns at once, in the usual mix.
-func (l *lab) comeBack() []*request {
+// backlog generates the requests that arrive together at backlogAt, with the
+// scenario's mix of classes and customers.
+func (l *lab) backlog() []*request {
 	s := l.scenario
-	parts, total := l.customerParts()
+	loads, total := l.customerLoads()
 	var all []*request
 	for class, c := range s.classes {
-		n := int(s.returning * float64(burdockclock.Second) * l.capacity() * c.part / c.meanTokens)
+		n := int(s.backlogSeconds * float64(burdockclock.Second) * l.capacity() * c.tokenShare / c.meanTokens)
 		for range n {
-			at := returnAt + burdockclock.Millis(l.rnd.Int64N(int64(returnWithin)))
-			all = append(all, l.draw(at, class, l.pickCustomer(parts, total)))
+			at := backlogAt + burdockclock.Millis(l.rnd.Int64N(int64(backlogSpread)))
+			all = append(all, l.newRequest(at, class, l.pickCustomer(loads, total)))
 		}
 	}
 	return all
 }
 
-// customerParts returns each customer's part of the load. They sum to 1 unless
-// one customer sends more than its share.
-func (l *lab) customerParts() (parts []float64, total float64) {
+// customerLoads returns the load of each customer, relative to the scenario's load,
+// and their sum. The sum is 1 unless heavyCustomer sends more than its share.
+func (l *lab) customerLoads() (loads []float64, total float64) {
 	sum := 0.0
 	for _, c := range customers {
 		sum += c.share
 	}
 	for _, c := range customers {
-		part := c.share / sum
-		if c.name == l.scenario.hog {
-			part *= l.scenario.hogFactor
+		load := c.share / sum
+		if c.name == l.scenario.heavyCustomer {
+			load *= l.scenario.heavyFactor
 		}
-		parts = append(parts, part)
-		total += part
+		loads = append(loads, load)
+		total += load
 	}
-	return parts, total
+	return loads, total
 }
 
-func (l *lab) pickCustomer(parts []float64, total float64) burdockid.Customer {
+func (l *lab) pickCustomer(loads []float64, total float64) burdockid.Customer {
 	x := l.rnd.Float64() * total
-	for i, part := range parts {
-		if x < part {
+	for i, load := range loads {
+		if x < load {
 			return customers[i].name
 		}
-		x -= part
+		x -= load
 	}
 	return customers[len(customers)-1].name
 }
 
-func (l *lab) draw(now burdockclock.Millis, class int, customer burdockid.Customer) *request {
+func (l *lab) newRequest(now burdockclock.Millis, class int, customer burdockid.Customer) *request {
 	c := l.scenario.classes[class]
 	// The mean of a log-normal variable is exp(mu + sigma²/2).
-	tokens := c.meanTokens * math.Exp(c.sigma*l.rnd.NormFloat64()-c.sigma*c.sigma/2)
-	tokens = math.Max(1, math.Round(tokens))
-	estimate := tokens * math.Exp(l.cfg.estimateError*l.rnd.NormFloat64())
+	actualTokens := c.meanTokens * math.Exp(c.sigma*l.rnd.NormFloat64()-c.sigma*c.sigma/2)
+	actualTokens = math.Max(1, math.Round(actualTokens))
+	estimate := actualTokens * math.Exp(l.cfg.estimateError*l.rnd.NormFloat64())
 	return &request{
-		tokens: tokens,
+		actualTokens: actualTokens,
 		work: burdockqueue.Request{
 			Customer: customer,
 			Class:    burdockqueue.Class(class),
 			Cost:     burdockid.Tokens(math.Max(1, math.Round(estimate))),
 			Arrived:  now,
-			Deadline: now + c.patience,
+			Deadline: now + c.timeout,
 		},
 	}
 }
--- a/internal/measure/burdockqueuelab/command.go
+++ b/internal/measure/burdockqueuelab/command.go
@@ -13,7 +13,7 @@
 	"burdockbend.example/burdockbend/internal/base/burdockclock"
 )
 
-// Command returns the command that measures the queue and prints to w.
+// Command returns the command "queue", which writes its report to w.
 func Command(w io.Writer) *ffcli.Command {
 	var cfg config
 	var duration, starvation time.Duration
@@ -27,7 +27,7 @@
 	fs.DurationVar(&duration, "duration", 10*time.Minute, "time in which requests arrive, and that is measured")
 	fs.IntVar(&cfg.maxQueued, "max-queued", 256, "bound on queued requests")
 	fs.Float64Var(&cfg.estimateError, "estimate-error", 0.3, "sigma of the logarithm of estimated over true tokens")
-	fs.IntVar(&cfg.kept, "kept", 2, "slots kept for the most urgent class; fewer in proportion where the scenario has fewer slots")
+	fs.IntVar(&cfg.reservedSlots, "kept", 2, "slots kept for the most urgent class; fewer in proportion where the scenario has fewer slots")
 	fs.DurationVar(&starvation, "starvation", 5*time.Second, "bound on starvation of the other classes")
 	fs.IntVar(&cfg.maxAttempts, "attempts", 4, "offers of one request at the most")
 	return &ffcli.Command{
@@ -54,14 +54,14 @@
 	return strings.Join(names, ", ")
 }
 
-// measure runs the chosen scenario, or all of them, through every policy.
+// measure simulates every policy under the chosen scenario, or under all scenarios.
 func measure(w io.Writer, cfg config) error {
 	if cfg.scenario != "all" {
-		return measureOne(w, cfg)
+		return measureScenario(w, cfg)
 	}
 	for _, s := range scenarios {
 		cfg.scenario = s.name
-		if err := measureOne(w, cfg); err != nil {
+		if err := measureScenario(w, cfg); err != nil {
 			return err
 		}
 		if _, err := io.WriteString(w, "\n"); err != nil {
@@ -71,7 +71,7 @@
 	return nil
 }
 
-func measureOne(w io.Writer, cfg config) error {
+func measureScenario(w io.Writer, cfg config) error {
 	if cfg.slots < 1 || cfg.rate <= 0 || cfg.knee <= 0 || cfg.duration < burdockclock.Second {
 		return errors.New("slots, capacity and knee must be above 0, duration a second or more")
 	}
--- a/internal/measure/burdockqueuelab/doc.go
+++ b/internal/measure/burdockqueuelab/doc.go
@@ -1,8 +1,7 @@
-// Package burdockqueuelab measures the queue of burdockqueue against a model of
-// one engine, beside first come, first served and plain priority, on the same
-// seeded arrivals.
+// Package burdockqueuelab simulates the queue of package burdockqueue in front of a
+// model of one engine, and compares it with first come, first served and with plain
+// priority on the same seeded arrivals.
 //
-// Callers wait until their deadline and then hang up, whatever the policy. One
-// that is refused comes back after the time it was told, as long as that is
-// before its deadline.
+// Callers hang up at their deadline under every policy. A refused caller retries
+// after the reported time if that is before its deadline and it has attempts left.
 package burdockqueuelab
--- a/internal/measure/burdockqueuelab/engine.go
+++ b/internal/measure/burdockqueuelab/engine.go
@@ -6,64 +6,65 @@
 	"burdockbend.example/burdockbend/internal/base/burdockclock"
 )
 
-// engine models continuous batching: all running requests advance together,
-// and the token rate grows with their number up to the knee.
+// engine models continuous batching: all running requests get tokens at the same
+// rate, and the total rate grows with their number up to the knee. speed returns the
+// factor of rate at a time.
 type engine struct {
-	rate    float64 // tokens a millisecond at the knee and beyond
-	knee    float64 // the number of requests at which the rate is reached
-	speed   func(at burdockclock.Millis) float64
-	window  burdockclock.Millis // the end of the measured time
-	running []*request
-	now     burdockclock.Millis
+	rate          float64 // tokens per millisecond at the knee and beyond
+	knee          float64 // number of requests from which the full rate is reached
+	speed         func(at burdockclock.Millis) float64
+	measuredUntil burdockclock.Millis // end of the measured time
+	running       []*request
+	now           burdockclock.Millis
 }
 
-// perRequest returns the tokens a millisecond that each request gets.
-func (e *engine) perRequest() float64 {
+// ratePerRequest returns the tokens per millisecond that each request gets.
+func (e *engine) ratePerRequest() float64 {
 	n := float64(len(e.running))
 	return e.rate * e.speed(e.now) * math.Min(1, n/e.knee) / n
 }
 
-// advance serves all running requests up to now, and returns those that are
-// done, the ones that ran longest first.
+// advance serves all running requests up to now. It removes and returns those that
+// have finished, in the order in which they started.
 func (e *engine) advance(now burdockclock.Millis) []*request {
 	if len(e.running) == 0 || now <= e.now {
 		e.now = max(e.now, now)
 		return nil
 	}
-	each := e.perRequest() * float64(now-e.now)
+	amountEach := e.ratePerRequest() * float64(now-e.now)
 	var done []*request
-	kept := e.running[:0]
+	unfinished := e.running[:0]
 	for _, r := range e.running {
-		part := math.Min(each, r.tokens-r.served)
-		r.served += part
-		if now <= e.window {
-			r.inWindow += part
+		amount := math.Min(amountEach, r.actualTokens-r.served)
+		r.served += amount
+		if now <= e.measuredUntil {
+			r.measuredTokens += amount
 		}
-		if r.served >= r.tokens-tokenSlack {
+		if r.served >= r.actualTokens-tokenTolerance {
 			done = append(done, r)
 			continue
 		}
-		kept = append(kept, r)
+		unfinished = append(unfinished, r)
 	}
-	e.running = kept
+	e.running = unfinished
 	e.now = now
 	return done
 }
 
-// tokenSlack is far below a token and far above rounding.
-const tokenSlack = 1e-6
+// tokenTolerance is far below one token and far above rounding errors.
+const tokenTolerance = 1e-6
 
-// nextDone returns the instant at which the next request is done if nothing
-// else happens.
-func (e *engine) nextDone() burdockclock.Millis {
+// nextCompletion returns the time at which the next request finishes if no other
+// event occurs before, or never if no request is running.
+func (e *engine) nextCompletion() burdockclock.Millis {
 	if len(e.running) == 0 {
 		return never
 	}
-	least := math.Inf(1)
+	minRemaining := math.Inf(1)
 	for _, r := range e.running {
-		least = math.Min(least, r.tokens-r.served)
+		minRemaining = math.Min(minRemaining, r.actualTokens-r.served)
 	}
-	return e.now + max(1, burdockclock.Millis(math.Ceil((least-tokenSlack)/e.perRequest())))
+	return e.now + max(1, burdockclock.Millis(math.Ceil((minRemaining-tokenTolerance)/e.ratePerRequest())))
 }
 
 func (e *engine) start(r *request) { e.running = append(e.running, r) }
--- a/internal/measure/burdockqueuelab/lab.go
+++ b/internal/measure/burdockqueuelab/lab.go
@@ -11,23 +11,23 @@
 
 const never burdockclock.Millis = math.MaxInt64
 
-// config holds the values that the command's user chooses.
+// config holds the command's flags.
 type config struct {
 	scenario      string
 	seed          uint64
 	slots         int
-	rate          float64 // tokens a second at full batch
-	knee          float64 // part of the slots at which the rate is reached
-	load          float64 // 0 takes the scenario's
+	rate          float64 // tokens per second with all slots in use
+	knee          float64 // fraction of the slots from which the full rate is reached
+	load          float64 // overrides the scenario's load unless 0
 	duration      burdockclock.Millis
 	maxQueued     int
 	estimateError float64
-	kept          int // slots kept for the most urgent class
+	reservedSlots int // reserved for the most urgent class
 	starvation    burdockclock.Millis
 	maxAttempts   int
 }
 
-// lab is one scenario under one seed.
+// lab runs one scenario with one seed.
 type lab struct {
 	cfg      config
 	scenario scenario
@@ -40,10 +40,10 @@
 		return nil, err
 	}
 	if s.slots > 0 {
-		// The same tokens a second for each slot.
+		// Keep the rate per slot.
 		cfg.rate *= float64(s.slots) / float64(cfg.slots)
-		// Kept slots in proportion, at least one if there are any.
-		cfg.kept = (cfg.kept*s.slots + cfg.slots - 1) / cfg.slots
+		// Scale the reserved slots in proportion, rounding up.
+		cfg.reservedSlots = (cfg.reservedSlots*s.slots + cfg.slots - 1) / cfg.slots
 		cfg.slots = s.slots
 	}
 	if cfg.load > 0 {
@@ -52,7 +52,7 @@
 	return &lab{cfg: cfg, scenario: s}, nil
 }
 
-// capacity returns tokens a millisecond at full speed.
+// capacity returns the tokens per millisecond at full speed.
 func (l *lab) capacity() float64 { return l.cfg.rate / float64(burdockclock.Second) }
 
 func (l *lab) speed(at burdockclock.Millis) float64 {
@@ -62,7 +62,7 @@
 	return l.scenario.speed(at, l.cfg.duration)
 }
 
-// capacityTokens returns what the engine can serve in the measured time.
+// capacityTokens returns the tokens that the engine can serve in the measured time.
 func (l *lab) capacityTokens() float64 {
 	sum := 0.0
 	for at := burdockclock.Millis(1); at <= l.cfg.duration; at++ {
@@ -78,9 +78,9 @@
 		Shares:    shares(),
 	}
 	for i, c := range l.scenario.classes {
-		class := burdockqueue.ClassConfig{Name: c.name, MaxWait: c.patience}
+		class := burdockqueue.ClassConfig{Name: c.name, MaxWait: c.timeout}
 		if i == 0 {
-			class.ReservedSlots = l.cfg.kept
+			class.ReservedSlots = l.cfg.reservedSlots
 		} else {
 			class.MaxStarvation = l.cfg.starvation
 		}
@@ -89,9 +89,10 @@
 	return cfg
 }
 
-// run puts the seed's arrivals through one policy.
+// run simulates one policy.
 func (l *lab) run(p policy) *result {
-	// Two sources, so that what a policy draws does not change the arrivals.
+	// The policy has a random source of its own, so that its use does not change the
+	// arrivals.
 	l.rnd = rand.New(rand.NewPCG(l.cfg.seed, 1))
 	requests := l.arrivals()
 	sim := &simulation{
@@ -99,10 +100,10 @@
 		q:    newQueue(p, l.queueConfig(), rand.New(rand.NewPCG(l.cfg.seed, 2))),
 		byID: make(map[burdockid.Request]*request, len(requests)),
 		engine: &engine{
-			rate:   l.capacity(),
-			knee:   l.cfg.knee * float64(l.cfg.slots),
-			speed:  l.speed,
-			window: l.cfg.duration,
+			rate:          l.capacity(),
+			knee:          l.cfg.knee * float64(l.cfg.slots),
+			speed:         l.speed,
+			measuredUntil: l.cfg.duration,
 		},
 	}
 	for _, r := range requests {
--- a/internal/measure/burdockqueuelab/result.go
+++ b/internal/measure/burdockqueuelab/result.go
@@ -7,67 +7,68 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// result is what one policy did with one seed's arrivals.
+// result holds the requests of one run with their outcomes.
 type result struct {
 	policy   policy
 	lab      *lab
 	requests []*request
 }
 
-// summary counts the outcomes of some of the requests.
+// summary aggregates the outcomes of a subset of the requests.
 type summary struct {
-	requests int
-	inTime   int
-	refused  int
-	untold   int // hung up without having been told anything
-	cut      int // hung up in the middle of the answer
-	attempts int
-	// waits are from arrival to start, of those that were started.
+	requests    int
+	inTime      int
+	refused     int
+	unanswered  int // the caller hung up while the request was queued
+	interrupted int // the caller hung up during the answer
+	attempts    int
+	// waits holds the times from arrival to start of the requests that were started.
 	waits []burdockclock.Millis
-	// toldAfter are from the last offer to its refusal, of the refused.
-	toldAfter []burdockclock.Millis
-	// goodTokens and wastedTokens were served within the measured time, for
-	// answers that came in time and for nobody.
+	// timeToRefusal holds the times from the last attempt to its refusal, of the
+	// refused requests.
+	timeToRefusal []burdockclock.Millis
+	// goodTokens and wastedTokens count the tokens served within the measured time
+	// for answers that finished in time and for answers that were interrupted.
 	goodTokens, wastedTokens float64
 }
 
-// summarise counts the requests that keep selects.
-func (r *result) summarise(keep func(*request) bool) *summary {
+// summarise aggregates the requests that filter selects.
+func (r *result) summarise(filter func(*request) bool) *summary {
 	s := &summary{}
 	for _, req := range r.requests {
-		if keep(req) {
+		if filter(req) {
 			s.add(req)
 		}
 	}
 	sortMillis(s.waits)
-	sortMillis(s.toldAfter)
+	sortMillis(s.timeToRefusal)
 	return s
 }
 
 func (s *summary) add(r *request) {
 	s.requests++
 	s.attempts += r.attempts
-	if r.running {
-		s.waits = append(s.waits, r.started-r.work.Arrived)
+	if r.everStarted {
+		s.waits = append(s.waits, r.startedAt-r.work.Arrived)
 	}
 	switch r.outcome {
 	case outcomeInTime:
 		s.inTime++
-		s.goodTokens += r.inWindow
-	case outcomeCut:
-		s.cut++
-		s.wastedTokens += r.inWindow
-	case outcomeUntold:
-		s.untold++
+		s.goodTokens += r.measuredTokens
+	case outcomeInterrupted:
+		s.interrupted++
+		s.wastedTokens += r.measuredTokens
+	case outcomeUnanswered:
+		s.unanswered++
 	case outcomeRefused:
 		s.refused++
-		s.toldAfter = append(s.toldAfter, r.toldAfter)
-	case outcomeOpen:
+		s.timeToRefusal = append(s.timeToRefusal, r.timeToRefusal)
+	case outcomePending:
 		panic("burdockqueuelab: request " + string(r.work.ID) + " has no outcome")
 	}
 }
 
-func everyone(*request) bool { return true }
+func allRequests(*request) bool { return true }
 
 func ofClass(class int) func(*request) bool {
 	return func(r *request) bool { return int(r.work.Class) == class }
@@ -77,26 +78,27 @@
 	return func(r *request) bool { return r.work.Customer == customer }
 }
 
-// part returns n as a percentage of the requests.
-func (s *summary) part(n int) float64 {
+// percentOf returns n as a percentage of the summary's requests.
+func (s *summary) percentOf(n int) float64 {
 	if s.requests == 0 {
 		return 0
 	}
 	return 100 * float64(n) / float64(s.requests)
 }
 
-// atOnce returns the percentage of the refused that were told with the answer
-// to their offer.
-func (s *summary) atOnce() float64 {
-	n := sort.Search(len(s.toldAfter), func(i int) bool { return s.toldAfter[i] > 0 })
+// percentRefusedAtOnce returns the percentage of the refused requests whose last
+// attempt was refused on arrival instead of after a wait in the queue.
+func (s *summary) percentRefusedAtOnce() float64 {
+	n := sort.Search(len(s.timeToRefusal), func(i int) bool { return s.timeToRefusal[i] > 0 })
 	if n == 0 {
 		return 0
 	}
-	return 100 * float64(n) / float64(len(s.toldAfter))
+	return 100 * float64(n) / float64(len(s.timeToRefusal))
 }
 
-// ofCapacity returns tokens as a percentage of what the engine could serve.
-func (r *result) ofCapacity(tokens float64) float64 {
+// percentOfCapacity returns tokens as a percentage of the engine's capacity in the
+// measured time.
+func (r *result) percentOfCapacity(tokens float64) float64 {
 	return 100 * tokens / r.lab.capacityTokens()
 }
 
@@ -104,10 +106,10 @@
 	sort.Slice(m, func(i, j int) bool { return m[i] < m[j] })
 }
 
-// quantile returns the value below which a part of the sorted values lie.
-func quantile(sorted []burdockclock.Millis, part float64) burdockclock.Millis {
+// quantile returns the value at the given fraction of the sorted values.
+func quantile(sorted []burdockclock.Millis, fraction float64) burdockclock.Millis {
 	if len(sorted) == 0 {
 		return 0
 	}
-	return sorted[int(part*float64(len(sorted)-1))]
+	return sorted[int(fraction*float64(len(sorted)-1))]
 }
--- a/internal/measure/burdockqueuelab/scenario.go
+++ b/internal/measure/burdockqueuelab/scenario.go
@@ -10,37 +10,37 @@
 // classLoad describes the requests of one priority class.
 type classLoad struct {
 	name string
-	// part is the class's part of the offered tokens.
-	part       float64
+	// tokenShare is the class's fraction of the offered tokens.
+	tokenShare float64
 	meanTokens float64
-	// sigma is the spread of the logarithm of the tokens.
-	sigma    float64
-	patience burdockclock.Millis // from arrival to deadline
+	// sigma is the standard deviation of the logarithm of the tokens.
+	sigma   float64
+	timeout burdockclock.Millis // from arrival to deadline
 }
 
-// scenario is one load on one engine.
+// scenario describes the load on an engine and the engine's speed.
 type scenario struct {
-	name string
-	what string
-	// slots is 0 to take the command's.
+	name        string
+	description string
+	// slots overrides the number of slots unless 0.
 	slots   int
-	load    float64 // offered tokens as a part of capacity
+	load    float64 // offered tokens as a fraction of capacity
 	classes []classLoad
-	// factor varies the load over time, as a part of the duration; nil is 1.
-	factor func(at, duration burdockclock.Millis) float64
-	// speed varies the engine's token rate over time; nil is 1.
+	// loadFactor varies the load over the run; nil is 1 throughout.
+	loadFactor func(at, duration burdockclock.Millis) float64
+	// speed varies the engine's token rate over the run; nil is 1 throughout.
 	speed func(at, duration burdockclock.Millis) float64
-	// hog is a customer that sends hogFactor times its part of the load.
-	hog       burdockid.Customer
-	hogFactor float64
-	// returning is the work that comes back at once at returnAt, in seconds of
-	// the engine's capacity.
-	returning float64
+	// heavyCustomer sends heavyFactor times its share of the load.
+	heavyCustomer burdockid.Customer
+	heavyFactor   float64
+	// backlogSeconds is the amount of requests that arrive together at backlogAt, in
+	// seconds of the engine's capacity.
+	backlogSeconds float64
 }
 
 const (
-	returnAt     = 10 * burdockclock.Second
-	returnWithin = burdockclock.Second / 2
+	backlogAt     = 10 * burdockclock.Second
+	backlogSpread = burdockclock.Second / 2
 
 	burstEvery  = 30 * burdockclock.Second
 	burstLength = 3 * burdockclock.Second
@@ -51,27 +51,28 @@
 	skewFactor = 20.0
 )
 
-// The classes of most scenarios: status replies and payout checks; answers to
-// an engineer or member who waits; statements and letters.
-var usualClasses = []classLoad{
-	{name: "urgent", part: 0.1, meanTokens: 80, sigma: 0.4, patience: 2 * burdockclock.Second},
-	{name: "waiting", part: 0.4, meanTokens: 500, sigma: 0.6, patience: 15 * burdockclock.Second},
-	{name: "letters", part: 0.5, meanTokens: 2000, sigma: 0.6, patience: 2 * burdockclock.Minute},
+// typicalClasses are the classes of most scenarios. The urgent class stands for status
+// replies and payout checks, the waiting class for answers to an engineer or member
+// who waits for them, and the last one for statements and letters.
+var typicalClasses = []classLoad{
+	{name: "urgent", tokenShare: 0.1, meanTokens: 80, sigma: 0.4, timeout: 2 * burdockclock.Second},
+	{name: "waiting", tokenShare: 0.4, meanTokens: 500, sigma: 0.6, timeout: 15 * burdockclock.Second},
+	{name: "letters", tokenShare: 0.5, meanTokens: 2000, sigma: 0.6, timeout: 2 * burdockclock.Minute},
 }
 
 var mixedClasses = []classLoad{
-	{name: "urgent", part: 0.05, meanTokens: 40, sigma: 0.4, patience: 2 * burdockclock.Second},
-	{name: "letters", part: 0.95, meanTokens: 8000, sigma: 0.5, patience: 10 * burdockclock.Minute},
+	{name: "urgent", tokenShare: 0.05, meanTokens: 40, sigma: 0.4, timeout: 2 * burdockclock.Second},
+	{name: "letters", tokenShare: 0.95, meanTokens: 8000, sigma: 0.5, timeout: 10 * burdockclock.Minute},
 }
 
 var scenarios = []scenario{
-	{name: "steady", what: "load below capacity", load: 0.8, classes: usualClasses},
-	{name: "burst", what: "0.6 of capacity, five times that for 3 s of every 30 s", load: 0.6, classes: usualClasses, factor: bursts},
-	{name: "skew", what: "0.8 of capacity, and one customer sends 20 times its share", load: 0.8, classes: usualClasses, hog: "c07", hogFactor: skewFactor},
-	{name: "slow", what: "0.8 of capacity; the engine falls to 0.3 of its rate for the middle third", load: 0.8, classes: usualClasses, speed: slowThird},
-	{name: "mixed", what: "short urgent replies beside long prompts on 4 slots at 1.5 of capacity", slots: 4, load: 1.5, classes: mixedClasses},
-	{name: "saturation", what: "2 times capacity throughout", load: 2, classes: usualClasses},
-	{name: "return", what: "60 s of work comes back within half a second, then 0.7 of capacity", load: 0.7, classes: usualClasses, returning: 60},
+	{name: "steady", description: "load below capacity", load: 0.8, classes: typicalClasses},
+	{name: "burst", description: "0.6 of capacity, five times that for 3 s of every 30 s", load: 0.6, classes: typicalClasses, loadFactor: bursts},
+	{name: "skew", description: "0.8 of capacity, and one customer sends 20 times its share", load: 0.8, classes: typicalClasses, heavyCustomer: "c07", heavyFactor: skewFactor},
+	{name: "slow", description: "0.8 of capacity; the engine falls to 0.3 of its rate for the middle third", load: 0.8, classes: typicalClasses, speed: slowThird},
+	{name: "mixed", description: "short urgent replies beside long prompts on 4 slots at 1.5 of capacity", slots: 4, load: 1.5, classes: mixedClasses},
+	{name: "saturation", description: "2 times capacity throughout", load: 2, classes: typicalClasses},
+	{name: "return", description: "60 s of work comes back within half a second, then 0.7 of capacity", load: 0.7, classes: typicalClasses, backlogSeconds: 60},
 }
 
 func bursts(at, _ burdockclock.Millis) float64 {
@@ -97,7 +98,7 @@
 	return scenario{}, fmt.Errorf("no scenario %q; there are %s", name, scenarioNames())
 }
 
-// customers are about as many as a site has, a few of them large.
+// customers resemble those of a site in number; a few have large shares.
 var customers = []struct {
 	name  burdockid.Customer
 	share float64
--- a/internal/measure/burdockqueuelab/simulation.go
+++ b/internal/measure/burdockqueuelab/simulation.go
@@ -8,12 +8,12 @@
 	"burdockbend.example/burdockbend/internal/decide/burdockqueue"
 )
 
-// callerEvent is something a caller does.
+// callerEvent is an action of a caller.
 type callerEvent struct {
 	at   burdockclock.Millis
 	kind callerEventKind
 	r    *request
-	n    int // keeps the order of events at the same instant
+	seq  int // keeps events at the same instant in the order of scheduling
 }
 
 type callerEventKind int
@@ -33,7 +33,7 @@
 	if h[i].at != h[j].at {
 		return h[i].at < h[j].at
 	}
-	return h[i].n < h[j].n
+	return h[i].seq < h[j].seq
 }
 
 // Swap implements heap.Interface.
@@ -50,46 +50,47 @@
 	return last
 }
 
-// simulation runs callers, queue and engine from event to event.
+// simulation advances callers, queue and engine from event to event.
 type simulation struct {
 	lab    *lab
 	q      queue
 	engine *engine
 	byID   map[burdockid.Request]*request
 	events callerEvents
-	n      int
+	seq    int
 	now    burdockclock.Millis
 }
 
 func (s *simulation) schedule(at burdockclock.Millis, kind callerEventKind, r *request) {
-	s.n++
-	heap.Push(&s.events, callerEvent{at: at, kind: kind, r: r, n: s.n})
+	s.seq++
+	heap.Push(&s.events, callerEvent{at: at, kind: kind, r: r, seq: s.seq})
 }
 
 func (s *simulation) run() {
 	for {
-		at := s.nextInstant()
+		at := s.nextEventTime()
 		if at == never {
 			return
 		}
 		s.now = max(s.now, at)
 		for _, r := range s.engine.advance(s.now) {
 			r.outcome = outcomeInTime
-			s.q.Finish(s.now, r.work.ID, burdockid.Tokens(r.tokens))
+			s.q.Finish(s.now, r.work.ID, burdockid.Tokens(r.actualTokens))
 			s.apply(s.q.Dispatch(s.now))
 		}
 		for len(s.events) > 0 && s.events[0].at <= s.now {
-			s.act(heap.Pop(&s.events).(callerEvent))
+			s.handle(heap.Pop(&s.events).(callerEvent))
 			s.apply(s.q.Dispatch(s.now))
 		}
 		s.apply(s.q.Dispatch(s.now))
 	}
 }
 
-// nextInstant returns when something happens next. The engine's speed may
-// change in between, so it is looked at once a second at the least.
-func (s *simulation) nextInstant() burdockclock.Millis {
-	at := s.engine.nextDone()
+// nextEventTime returns the time of the next event, or never. While requests run on an
+// engine whose speed varies, it returns at most a second from now so that changes of
+// the speed take effect.
+func (s *simulation) nextEventTime() burdockclock.Millis {
+	at := s.engine.nextCompletion()
 	if at != never && s.lab.scenario.speed != nil {
 		at = min(at, s.now+burdockclock.Second)
 	}
@@ -102,9 +103,9 @@
 	return at
 }
 
-func (s *simulation) act(e callerEvent) {
+func (s *simulation) handle(e callerEvent) {
 	r := e.r
-	if r.outcome != outcomeOpen {
+	if r.outcome != outcomePending {
 		return
 	}
 	switch e.kind {
@@ -117,7 +118,7 @@
 
 func (s *simulation) offer(r *request) {
 	r.attempts++
-	r.offered = s.now
+	r.lastOffered = s.now
 	w := r.work
 	w.Arrived = s.now
 	switch d := s.q.Offer(s.now, w).(type) {
@@ -125,19 +126,19 @@
 		s.start(r)
 	case burdockqueue.Wait:
 	case burdockqueue.Refuse:
-		s.refused(r, d.RetryAfter)
+		s.handleRefusal(r, d.RetryAfter)
 	}
 }
 
 func (s *simulation) start(r *request) {
-	r.running, r.started = true, s.now
+	r.everStarted, r.startedAt = true, s.now
 	s.engine.start(r)
 }
 
-// refused is what a caller does that is told "not run": come back when told, if
-// that is of use.
-func (s *simulation) refused(r *request, after burdockclock.Millis) {
-	r.toldAfter = s.now - r.offered
+// handleRefusal schedules the caller's retry after the given time if the request has
+// attempts left and the retry comes before its deadline.
+func (s *simulation) handleRefusal(r *request, after burdockclock.Millis) {
+	r.timeToRefusal = s.now - r.lastOffered
 	if r.attempts < s.lab.cfg.maxAttempts && s.now+after < r.work.Deadline {
 		s.schedule(s.now+after, arrive, r)
 		return
@@ -146,9 +147,9 @@
 }
 
 func (s *simulation) hangUp(r *request) {
-	r.outcome = outcomeUntold
-	if r.running {
-		r.outcome = outcomeCut
+	r.outcome = outcomeUnanswered
+	if r.everStarted {
+		r.outcome = outcomeInterrupted
 		s.engine.stop(r)
 	}
 	s.q.Cancel(s.now, r.work.ID)
@@ -160,7 +161,7 @@
 		case burdockqueue.Started:
 			s.start(s.byID[e.ID])
 		case burdockqueue.Dropped:
-			s.refused(s.byID[e.ID], e.RetryAfter)
+			s.handleRefusal(s.byID[e.ID], e.RetryAfter)
 		}
 	}
 }
