--- a/internal/measure/burdockexpertlab/command.go
+++ b/internal/measure/burdockexpertlab/command.go
@@ -18,12 +18,13 @@
 	"burdockbend.example/burdockbend/internal/decide/burdockexpert"
 )
 
-// Command returns "experts", which runs one drift and writes its report to w.
+// Command returns the command "experts", which simulates one drift and writes its
+// report to w.
 func Command(w io.Writer) *ffcli.Command {
 	o := options{cfg: DefaultConfig()}
 	fs := flag.NewFlagSet("experts", flag.ContinueOnError)
 	fs.SetOutput(w)
-	o.register(fs)
+	o.registerFlags(fs)
 	return &ffcli.Command{
 		Name:       "experts",
 		ShortUsage: "burdock measure experts --drift NAME --weight SKEW:COST --seed N [--plot FILE.svg]",
@@ -39,7 +40,7 @@
 	plot string
 }
 
-func (o *options) register(fs *flag.FlagSet) {
+func (o *options) registerFlags(fs *flag.FlagSet) {
 	cfg := &o.cfg
 	fs.Func("drift", "steady, slow, swap, quarter or noise (default slow)", func(s string) (err error) {
 		cfg.Drift, err = parseDrift(s)
@@ -103,7 +104,7 @@
 	return os.WriteFile(o.plot, rep.Plot(), 0o644)
 }
 
-// Check returns what is wrong with a run's settings.
+// Check returns findings for the settings that are out of range.
 func (cfg Config) Check() burdockfinding.List {
 	var list burdockfinding.List
 	for _, c := range []struct {
--- a/internal/measure/burdockexpertlab/command_test.go
+++ b/internal/measure/burdockexpertlab/command_test.go
@@ -24,7 +24,7 @@
 	return b.String(), err
 }
 
-func TestReportIsTheSameEachTime(t *testing.T) {
+func TestReportGolden(t *testing.T) {
 	got, err := runCommand(t, "--drift swap --weight 1:4 --seed 5 "+smallGroup)
 	if err != nil {
 		t.Fatal(err)
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestSettingsAreReportedTogether(t *testing.T) {
+func TestAllBadSettingsAreReported(t *testing.T) {
 	_, err := runCommand(t, "--ranks 0 --steps -1")
 	var findings *burdockfinding.Error
 	if !errors.As(err, &findings) || len(findings.Findings) != 2 {
@@ -73,8 +73,10 @@
 	}
 }
 
-// The aims on which the planner is judged, on a small group.
-func TestAims(t *testing.T) {
+// On a small group, the planner must keep the median skew within 5% of the lower bound
+// with at most a fifth of the moves of solving after each step. Under pure noise it
+// must not move anything.
+func TestPlannerTargets(t *testing.T) {
 	const fifth = 0.2
 	cfg := DefaultConfig()
 	cfg.Ranks, cfg.Experts, cfg.Layers, cfg.Steps = 16, 64, 2, 240
--- a/internal/measure/burdockexpertlab/run.go
+++ b/internal/measure/burdockexpertlab/run.go
@@ -1,7 +1,7 @@
-// Package burdockexpertlab measures the placement of experts: it plays a drift
-// of popularity to the product's planner and to simple policies beside it, and
-// reports step-time skew and time spent moving. It drives the pure package
-// burdockexpert only and simulates no cluster.
+// Package burdockexpertlab measures the placement of experts. It exposes the planner
+// of package burdockexpert and simple policies to the same drift of expert
+// popularity, and reports step-time skew and the time spent moving experts. It
+// simulates no cluster.
 package burdockexpertlab
 
 import (
@@ -13,7 +13,7 @@
 	"burdockbend.example/burdockbend/internal/decide/burdockexpert"
 )
 
-// Config is one run.
+// Config holds the settings of a run.
 type Config struct {
 	Drift       Drift
 	Weights     burdockexpert.Weights
@@ -21,24 +21,23 @@
 	Ranks       int
 	Experts     int
 	Layers      int
-	Slots       int // of each rank in each layer
-	Steps       int // decisions; each stands for Window of a group's work
+	Slots       int // per rank and layer
+	Steps       int // decisions; each step represents a time of Window
 	Window      burdockclock.Millis
-	Tokens      burdockid.Tokens // routed in a layer in one window
+	Tokens      burdockid.Tokens // routed per layer and step
 	HalfLife    burdockclock.Millis
 	Horizon     burdockclock.Millis
 	ExpertBytes burdockid.Bytes
 	StoreRate   burdockid.BytesPerSecond
 	TimerSteps  int
-	Sweep       bool // also play other weights and timers
+	Sweep       bool // also run other weights and timers
 }
 
-// DefaultConfig returns a group of the target's size, with few layers so that
-// a run takes seconds. With more layers a move costs the same and evens out a
-// smaller part of the step, so it has to be measured with all of a model's
-// layers too. A model's expert of 44 million one-byte weights comes at a
-// gigabyte a second. A window of 30 seconds routes what 10,000 tokens a second
-// to 8 experts each come to.
+// DefaultConfig returns the settings for a group of the target size, with few layers so
+// that a run takes seconds. With more layers a move costs the same but balances a
+// smaller part of the step, so measurements with all layers of a model are needed
+// too. An expert has 44 million weights of one byte, loaded at 1 GB per second. A
+// window of 30 seconds routes 10,000 tokens per second to 8 experts each.
 func DefaultConfig() Config {
 	return Config{
 		Drift:       Slow,
@@ -62,7 +61,7 @@
 
 const millisPerSecond = 1000
 
-func (cfg Config) moveCost(n int) burdockclock.Millis {
+func (cfg Config) moveDuration(n int) burdockclock.Millis {
 	millis := float64(n) * float64(cfg.ExpertBytes) * millisPerSecond / float64(cfg.StoreRate)
 	return burdockclock.Millis(math.Ceil(millis))
 }
@@ -75,107 +74,106 @@
 	return ranks
 }
 
-// Row is what one policy reached.
+// Row holds the measurements of one policy.
 type Row struct {
 	Name       string
-	SkewP50    float64 // step-time skew: largest over mean rank time
+	SkewP50    float64 // step-time skew: maximum over mean rank time
 	SkewP99    float64
 	SkewMean   float64
-	Moves      int // experts fetched
-	MapChanges int // maps put in force
+	Moves      int // experts loaded
+	MapChanges int // map changes that moved at least one expert
 	MoveTime   burdockclock.Millis
-	// WeightedLoss is the run's weighted objective: skew's excess over 1 for the
-	// length of the run, and the time spent moving, at Config's weights.
+	// WeightedLoss is the planner's objective over the whole run: the time lost to skew
+	// (excess over 1) plus the time spent moving experts, weighted by Config.Weights.
 	WeightedLoss burdockclock.Millis
 }
 
-// Report is the outcome of a run.
+// Report holds the measurements of a run.
 type Report struct {
 	Config      Config
-	Bound       Row // what no map can beat in each step, at no cost
+	Bound       Row // lower bound of the skew in each step, without moves
 	Policies    []Row
-	WeightSweep []Row // the planner at other weights
-	TimerSweep  []Row // solving afresh at other periods
+	WeightSweep []Row // the planner with other weights
+	TimerSweep  []Row // the timer with other intervals
 }
 
-// sweepWeights spans what the planner is asked to do, from skew at almost any
-// cost to the reverse.
+// sweepWeights ranges from few moves at almost any skew to low skew at almost any cost.
 var sweepWeights = []burdockexpert.Weights{
 	{Skew: 1, Cost: 256}, {Skew: 1, Cost: 64}, {Skew: 1, Cost: 16}, {Skew: 1, Cost: 4},
 	{Skew: 1, Cost: 1}, {Skew: 4, Cost: 1}, {Skew: 16, Cost: 1}, {Skew: 64, Cost: 1},
 }
 
-// sweepTimers are periods in steps.
+// sweepTimers holds timer intervals in steps.
 var sweepTimers = []int{360, 180, 60, 20, 5, 1}
 
-// run holds the players of one run.
-type run struct {
-	cfg      Config
-	source   *source
-	policies []*player
-	sweep    []*player
-	timers   []*player
-	bounds   []float64
+// experiment is the state of one run.
+type experiment struct {
+	cfg        Config
+	workload   *workload
+	policies   []*policyRun
+	sweep      []*policyRun
+	timers     []*policyRun
+	boundSkews []float64
 }
 
-// Run plays the drift to all policies; the counts are the same for all. A step
-// is judged on its true popularity, under a map chosen before the step.
+// Run simulates the drift with all policies, on the same counts. The skew of a step is
+// computed from its true popularity, with the map that was chosen before the step.
 func Run(cfg Config) Report {
-	r := newRun(cfg)
-	r.play()
+	r := newExperiment(cfg)
+	r.simulate()
 	return r.report()
 }
 
-// Places among a report's policies.
+// Indexes in Report.Policies.
 const (
-	neverRow  = 1
-	alwaysRow = 2
+	neverIndex  = 1
+	alwaysIndex = 2
 )
 
-func newRun(cfg Config) *run {
-	always, timer := newTimed(1), newTimed(cfg.TimerSteps)
+func newExperiment(cfg Config) *experiment {
+	always, timer := newTimedRun(1), newTimedRun(cfg.TimerSteps)
 	always.name = "always"
-	r := &run{
+	r := &experiment{
 		cfg:      cfg,
-		source:   newSource(cfg),
-		policies: []*player{newPlanned(cfg.Weights), {name: "never", policy: never{}}, always, timer},
+		workload: newWorkload(cfg),
+		policies: []*policyRun{newPlannedRun(cfg.Weights), {name: "never", policy: never{}}, always, timer},
 	}
 	if !cfg.Sweep {
 		return r
 	}
 	for _, w := range sweepWeights {
-		r.sweep = append(r.sweep, newPlanned(w))
+		r.sweep = append(r.sweep, newPlannedRun(w))
 	}
 	for _, steps := range sweepTimers {
-		r.timers = append(r.timers, newTimed(steps))
+		r.timers = append(r.timers, newTimedRun(steps))
 	}
 	return r
 }
 
-func (r *run) players() []*player { return slices.Concat(r.policies, r.sweep, r.timers) }
+func (r *experiment) policyRuns() []*policyRun { return slices.Concat(r.policies, r.sweep, r.timers) }
 
-func (r *run) play() {
+func (r *experiment) simulate() {
 	ranks := r.cfg.ranks()
-	first := burdockexpert.Solve(r.source.truth(0), ranks)
-	for _, p := range r.players() {
-		p.present = first
+	firstMap := burdockexpert.Solve(r.workload.truePopularity(0), ranks)
+	for _, p := range r.policyRuns() {
+		p.currentMap = firstMap
 	}
 	popularity := burdockexpert.NewPopularity(r.cfg.Layers, r.cfg.Experts, r.cfg.HalfLife)
 	for step := range r.cfg.Steps {
-		truth := r.source.truth(step)
-		r.bounds = append(r.bounds, mean(burdockexpert.LowerBound(truth, ranks)))
+		truePopularity := r.workload.truePopularity(step)
+		r.boundSkews = append(r.boundSkews, mean(burdockexpert.LowerBound(truePopularity, ranks)))
 		for l := range burdockid.Layer(r.cfg.Layers) {
-			popularity.Observe(burdockclock.Millis(step+1)*r.cfg.Window, l, r.source.counts(truth.Share[l]))
+			popularity.Observe(burdockclock.Millis(step+1)*r.cfg.Window, l, r.workload.counts(truePopularity.Share[l]))
 		}
 		in := r.input(popularity.Snapshot(), ranks)
-		for _, p := range r.players() {
-			p.skews = append(p.skews, mean(burdockexpert.Skew(p.present, truth, ranks)))
-			p.next(step, in, r.cfg)
+		for _, p := range r.policyRuns() {
+			p.skews = append(p.skews, mean(burdockexpert.Skew(p.currentMap, truePopularity, ranks)))
+			p.chooseMap(step, in, r.cfg)
 		}
 	}
 }
 
-func (r *run) input(snap burdockexpert.Snapshot, ranks []burdockexpert.Rank) burdockexpert.Input {
+func (r *experiment) input(snap burdockexpert.Snapshot, ranks []burdockexpert.Rank) burdockexpert.Input {
 	return burdockexpert.Input{
 		Popularity:  snap,
 		Ranks:       ranks,
@@ -185,8 +183,8 @@
 	}
 }
 
-func (r *run) report() Report {
-	rep := Report{Config: r.cfg, Bound: r.row(&player{name: "bound", skews: r.bounds})}
+func (r *experiment) report() Report {
+	rep := Report{Config: r.cfg, Bound: r.row(&policyRun{name: "bound", skews: r.boundSkews})}
 	for _, p := range r.policies {
 		rep.Policies = append(rep.Policies, r.row(p))
 	}
@@ -199,27 +197,28 @@
 	return rep
 }
 
-func (r *run) row(p *player) Row {
+func (r *experiment) row(p *policyRun) Row {
 	const median, tail = 0.50, 0.99
 	sorted := slices.Sorted(slices.Values(p.skews))
-	average := mean(p.skews)
-	excess := (average - 1) * float64(r.cfg.Window) * float64(r.cfg.Steps)
-	lost := r.cfg.Weights.Skew*excess + r.cfg.Weights.Cost*float64(p.moving)
+	meanSkew := mean(p.skews)
+	excess := (meanSkew - 1) * float64(r.cfg.Window) * float64(r.cfg.Steps)
+	weightedLoss := r.cfg.Weights.Skew*excess + r.cfg.Weights.Cost*float64(p.moveTime)
 	return Row{
 		Name:         p.name,
 		SkewP50:      quantile(sorted, median),
 		SkewP99:      quantile(sorted, tail),
-		SkewMean:     average,
+		SkewMean:     meanSkew,
 		Moves:        p.moves,
-		MapChanges:   p.changes,
-		MoveTime:     p.moving,
-		WeightedLoss: burdockclock.Millis(lost),
+		MapChanges:   p.mapChanges,
+		MoveTime:     p.moveTime,
+		WeightedLoss: burdockclock.Millis(weightedLoss),
 	}
 }
 
-// quantile returns the smallest value that at least part of all don't exceed.
-func quantile(sorted []float64, part float64) float64 {
-	return sorted[max(0, int(math.Ceil(part*float64(len(sorted))))-1)]
+// quantile returns the smallest value that at least the given fraction of all values
+// do not exceed.
+func quantile(sorted []float64, fraction float64) float64 {
+	return sorted[max(0, int(math.Ceil(fraction*float64(len(sorted))))-1)]
 }
 
 func mean(list []float64) float64 {
