--- a/internal/decide/burdockexpert/codec.go
+++ b/internal/decide/burdockexpert/codec.go
@@ -7,8 +7,8 @@
 	"github.com/joomcode/errorx"
 )
 
-// MaxEncodedSize is the largest encoding of a map: a value of the configuration
-// store holds no more.
+// MaxEncodedSize is the maximum size of an encoded map in bytes, which is the
+// largest value that the configuration store accepts.
 const MaxEncodedSize = 1 << 20
 
 // formatVersion is the first byte of an encoded map.
@@ -16,13 +16,14 @@
 
 var namespace = errorx.NewNamespace("burdockexpert")
 
-// MalformedMap is the type of error for bytes that are no map's encoding.
+// MalformedMap is the error type for bytes that don't decode to a map, and for
+// maps that can't be encoded.
 var MalformedMap = namespace.NewType("malformedMap")
 
-// Encode returns the one encoding of m: the format's version, the shape, and
-// for each layer and rank the number of experts held and the gaps between
-// their numbers, all as minimal varints. Equal maps have equal encodings, so
-// ranks may compare digests in place of maps.
+// Encode returns the canonical encoding of m: the format version, the shape, and
+// for each layer and rank the number of experts and the gaps between their
+// numbers, all as minimal varints. Equal maps have equal encodings, so ranks can
+// compare digests instead of maps.
 func (m *Map) Encode() ([]byte, error) {
 	size := m.encodedSize()
 	if size > MaxEncodedSize {
@@ -36,7 +37,7 @@
 	b = binary.AppendUvarint(b, uint64(m.shape.Layers))
 	b = binary.AppendUvarint(b, uint64(m.shape.Ranks))
 	b = binary.AppendUvarint(b, uint64(m.shape.Experts))
-	for _, held := range m.holds {
+	for _, held := range m.placement {
 		b = binary.AppendUvarint(b, uint64(len(held)))
 		next := uint64(0)
 		for _, e := range held {
@@ -49,30 +50,30 @@
 
 func (m *Map) encodedSize() int { return len(m.append(nil)) }
 
-// Digest returns a hash of m's encoding.
+// Digest returns the xxHash64 of m's encoding.
 func (m *Map) Digest() uint64 { return xxhash.Sum64(m.append(nil)) }
 
-// Decode reads what Encode returned. Any other bytes give an error of type
-// MalformedMap, also those that would stand for a map in another spelling.
+// Decode decodes a map encoded by Encode. Any other bytes, including
+// non-canonical encodings, give an error of type MalformedMap.
 func Decode(b []byte) (*Map, error) {
 	if len(b) > MaxEncodedSize {
 		return nil, MalformedMap.New("%d bytes, limit %d", len(b), MaxEncodedSize)
 	}
-	d := decoder{rest: b}
+	d := decoder{buf: b}
 	m := d.decode()
 	if d.err != nil {
 		return nil, d.err
 	}
-	if len(d.rest) > 0 {
-		return nil, MalformedMap.New("%d bytes after the end", len(d.rest))
+	if len(d.buf) > 0 {
+		return nil, MalformedMap.New("%d bytes after the end", len(d.buf))
 	}
 	return m, nil
 }
 
-// decoder reads an encoded map; after the first error it reads nothing more.
+// decoder reads an encoded map from buf, and nothing more after the first error.
 type decoder struct {
-	rest []byte
-	err  error
+	buf []byte
+	err error
 }
 
 func (d *decoder) decode() *Map {
@@ -80,34 +81,34 @@
 		d.fail("format version %d, want %d", v, formatVersion)
 		return nil
 	}
-	layers, ranks, experts := d.upTo(maxLayers), d.upTo(maxRanks), d.upTo(maxExperts)
+	layers, ranks, experts := d.bounded(maxLayers), d.bounded(maxRanks), d.bounded(maxExperts)
 	s := Shape{Layers: layers, Ranks: ranks, Experts: experts}
 	if d.err != nil || !s.valid() {
 		d.fail("shape %+v is out of limits", s)
 		return nil
 	}
-	// Each rank's list takes at least one byte. Without this check a few
-	// bytes could ask for the memory of the largest shape.
-	if s.Layers*s.Ranks > len(d.rest) {
-		d.fail("%d bytes are too few for %+v", len(d.rest), s)
+	// Each rank's list takes at least one byte. Without this check a few bytes
+	// could make NewMap allocate the memory of the largest shape.
+	if s.Layers*s.Ranks > len(d.buf) {
+		d.fail("%d bytes are too few for %+v", len(d.buf), s)
 		return nil
 	}
 	m := NewMap(s)
-	for i := range m.holds {
-		m.holds[i] = d.list(experts)
+	for i := range m.placement {
+		m.placement[i] = d.expertList(experts)
 	}
 	return m
 }
 
-func (d *decoder) list(experts int) []uint16 {
-	n := d.upTo(min(experts, len(d.rest)))
+func (d *decoder) expertList(experts int) []uint16 {
+	n := d.bounded(min(experts, len(d.buf)))
 	if n == 0 || d.err != nil {
 		return nil
 	}
 	held := make([]uint16, 0, n)
 	next := 0
 	for range n {
-		e := next + d.upTo(experts)
+		e := next + d.bounded(experts)
 		if e >= experts {
 			d.fail("expert %d of %d", e, experts)
 			return nil
@@ -118,7 +119,7 @@
 	return held
 }
 
-func (d *decoder) upTo(limit int) int {
+func (d *decoder) bounded(limit int) int {
 	v := d.uvarint()
 	if v > uint64(limit) {
 		d.fail("number %d, limit %d", v, limit)
@@ -131,17 +132,17 @@
 	if d.err != nil {
 		return 0
 	}
-	v, n := binary.Uvarint(d.rest)
+	v, n := binary.Uvarint(d.buf)
 	if n <= 0 {
-		d.fail("varint cut or too long")
+		d.fail("varint is truncated or too long")
 		return 0
 	}
-	// A longer spelling of the same number would give one map two digests.
-	if n > 1 && d.rest[n-1] == 0 {
+	// A longer encoding of the same number would give one map two digests.
+	if n > 1 && d.buf[n-1] == 0 {
 		d.fail("varint is not minimal")
 		return 0
 	}
-	d.rest = d.rest[n:]
+	d.buf = d.buf[n:]
 	return v
 }
 
--- a/internal/decide/burdockexpert/counts.go
+++ b/internal/decide/burdockexpert/counts.go
@@ -7,54 +7,57 @@
 	"burdockbend.example/burdockbend/internal/base/burdockclock"
 )
 
-// layerCounts holds the decayed counts of one layer.
+// layerCounts are the exponentially decayed token counts of one layer. A window
+// that differs too much from them, as after a sudden shift of popularity, is kept
+// as pending until the next window confirms the shift or not.
 type layerCounts struct {
-	seen        bool
-	at          burdockclock.Millis
-	counts      []float64 // sum of weight*count
+	started     bool
+	updatedAt   burdockclock.Millis
+	counts      []float64 // by expert: sum of weight*count
 	total       float64   // sum of weight*tokens
-	totalSquare float64   // sum of weight^2*tokens; with total it gives the effective sample
-	last        window
-	mixed       bool      // pending holds too much of before to tell the rest
-	pending     window    // breaks with last and waits for the next to agree
-	rest        window    // pending without what it has of before
-	dispersions []float64 // the newest, at most dispersionWindows
+	totalSquare float64   // sum of weight^2*tokens; total^2/totalSquare is the effective sample size
+	previous    window
+	mixed       bool      // pending has too much of the old popularity to estimate the new one
+	pending     window    // differs from counts; its total is 0 if there is none
+	pendingNew  window    // pending without its part of the old popularity
+	dispersions []float64 // of the latest windows, at most dispersionWindows
 }
 
 const (
 	// dispersionWindows is the number of windows whose median dispersion is
-	// used. A sudden change of popularity is an outlier in one of them; a mean
-	// would take it for noise and stop the planner just when it is needed.
+	// used. A sudden shift is an outlier in one of them. With the mean it would
+	// count as noise, and the planner would do nothing just when it is needed.
 	dispersionWindows = 9
-	// knownWindows is the number of dispersions below which assumedDispersion
-	// is the least that is taken: after a start the first windows may be calm
-	// by chance, or not have been compared at all.
-	knownWindows      = 4
-	assumedDispersion = 100.0
-	// breakFactor is how many times the usual dispersion sets two windows
-	// apart. Chance gives 8 experts' windows 4 times the mean in one of
-	// thousands; drift through the day gives 128 experts' about 2 times.
-	breakFactor = 8.0
-	// mostOldPart is the part of a window that may be of before a swap if the rest
-	// is to stand for what came after: of less than half of a window too few tokens
-	// are left to tell.
-	mostOldPart = 0.5
-	// unknownDeviation is the deviation of a share of which nothing is known.
+	// Below minDispersionWindows values, initialDispersion is the minimum: after
+	// the start the first windows may vary little by chance, or there may be
+	// nothing to compare them with.
+	minDispersionWindows = 4
+	initialDispersion    = 100.0
+	// shiftFactor is how many times the typical dispersion a window has to have
+	// to count as a shift. Chance alone gives 4 times the mean in one of
+	// thousands of windows with 8 experts; drift through the day gives about 2
+	// times with 128 experts.
+	shiftFactor = 8.0
+	// maxOldFraction is how much of a window may belong to the old popularity if
+	// the new one is to be estimated from the rest. Less than half a window has
+	// too few tokens for that.
+	maxOldFraction = 0.5
+	// unknownDeviation is the deviation of a share without any counts.
 	unknownDeviation = 1.0
 )
 
-// decay lowers the weight of all counts by the time since the newest one. An
-// observation that comes late, with an earlier time, is taken as of now.
+// decay reduces all counts by the time since the latest observation. If now is
+// earlier than that, it does nothing, so a late observation gets full weight.
 func (c *layerCounts) decay(now, halfLife burdockclock.Millis) {
-	elapsed := now - c.at
-	if !c.seen {
-		c.seen, c.at = true, now
+	elapsed := now - c.updatedAt
+	if !c.started {
+		c.started, c.updatedAt = true, now
 		return
 	}
 	if elapsed <= 0 {
 		return
 	}
-	c.at = now
+	c.updatedAt = now
 	weight := math.Exp2(-float64(elapsed) / float64(halfLife))
 	for e := range c.counts {
 		c.counts[e] *= weight
@@ -63,47 +66,49 @@
 	c.totalSquare *= weight * weight
 }
 
-// observe takes in one window.
+// observe adds one window.
 //
-// Load: popularity that swaps from one window to the next. Harm prevented: an
-// average of before and after, after which experts are moved to where neither
-// needs them. A window that breaks with the estimate is set aside; if the
-// next agrees with it, the counts from before are forgotten. One window alone
-// may be a burst, and does not turn the estimate: hence the wait. If the next
-// agrees with neither, the swap came within the window that was set aside: that
-// one is of both popularities and is left out. What such a window has of before is
-// taken off it, so that the rest can be planned on at once: where passes are long a
-// window more would keep a map in use that no longer fits.
+// When popularity shifts from one window to the next, an average of old and new
+// makes the planner place experts where neither needs them. A window that differs
+// from the counts is therefore kept pending, since a single one may be a burst.
+// If the next window agrees with it, the old counts are dropped. If the next one
+// agrees with the counts, it was a burst and is added to them. If the next agrees
+// with neither, the shift happened within the pending window, which then mixes
+// both popularities and is dropped together with the old counts.
+//
+// The old popularity's part is subtracted from a pending window, so that planning
+// on the new one can begin at once. With long steps, waiting for another window
+// would keep a map in use that no longer fits.
 func (c *layerCounts) observe(w window) {
 	switch {
 	case c.pending.total > 0:
-		c.confirm(w)
-	case c.breaks(w):
-		old := w.partOf(c.known())
-		c.pending, c.rest, c.mixed = w, w.without(c.known(), old), old > mostOldPart
+		c.resolvePending(w)
+	case c.isShift(w):
+		oldFraction := w.oldFraction(c.accumulated())
+		c.pending, c.pendingNew, c.mixed = w, w.subtract(c.accumulated(), oldFraction), oldFraction > maxOldFraction
 	default:
-		c.measureDispersion(w)
+		c.recordDispersion(w)
 		c.add(w)
 	}
 }
 
-// confirm takes in the window after one that was set aside.
-func (c *layerCounts) confirm(w window) {
-	agrees := w.dispersionFrom(c.pending) <= breakFactor*c.dispersion()
-	swapped := agrees || c.breaks(w)
-	if swapped {
-		c.forget()
+// resolvePending adds the window that follows a pending one.
+func (c *layerCounts) resolvePending(w window) {
+	agrees := w.dispersionFrom(c.pending) <= shiftFactor*c.dispersion()
+	shifted := agrees || c.isShift(w)
+	if shifted {
+		c.clearCounts()
 	}
-	if agrees || !swapped {
+	if agrees || !shifted {
 		c.add(c.pending)
 	}
 	c.add(w)
-	c.pending, c.rest = window{}, window{}
+	c.pending, c.pendingNew = window{}, window{}
 }
 
-// add counts a window.
+// add adds a window to the counts.
 func (c *layerCounts) add(w window) {
-	c.last = w
+	c.previous = w
 	for e, n := range w.counts {
 		c.counts[e] += n
 	}
@@ -111,58 +116,60 @@
 	c.totalSquare += w.total
 }
 
-// known returns the counts as one window.
-func (c *layerCounts) known() window { return window{counts: c.counts, total: c.total} }
+// accumulated returns the decayed counts as one window.
+func (c *layerCounts) accumulated() window { return window{counts: c.counts, total: c.total} }
 
-// forget drops the counts, but not what is known of their dispersion.
-func (c *layerCounts) forget() {
+// clearCounts drops the counts, but keeps their dispersions.
+func (c *layerCounts) clearCounts() {
 	clear(c.counts)
 	c.total, c.totalSquare = 0, 0
 }
 
-// breaks reports whether a window is too far from the estimate for noise.
+// isShift reports whether a window differs more from the counts than noise
+// explains.
 //
-// Failure: popularity swaps within a window that has few tokens. Symptom: neither
-// that window nor the next differs from its predecessor beyond chance, and the
-// estimate holds on to what is gone until the next swap. All counts since the last
-// swap are a better measure than one window.
-func (c *layerCounts) breaks(w window) bool {
-	return len(c.dispersions) >= knownWindows && w.dispersionFrom(c.known()) > breakFactor*c.dispersion()
+// It compares with all counts since the last shift, not with the previous window.
+// If popularity shifts within a window of few tokens, neither that window nor the
+// next differs significantly from its predecessor, and the estimate would keep
+// the old popularity until the next shift.
+func (c *layerCounts) isShift(w window) bool {
+	return len(c.dispersions) >= minDispersionWindows && w.dispersionFrom(c.accumulated()) > shiftFactor*c.dispersion()
 }
 
-func (c *layerCounts) measureDispersion(w window) {
-	if c.last.total == 0 {
+func (c *layerCounts) recordDispersion(w window) {
+	if c.previous.total == 0 {
 		return
 	}
 	if len(c.dispersions) == dispersionWindows {
 		c.dispersions = slices.Delete(c.dispersions, 0, 1)
 	}
-	c.dispersions = append(c.dispersions, w.dispersionFrom(c.last))
+	c.dispersions = append(c.dispersions, w.dispersionFrom(c.previous))
 }
 
-// dispersion returns how much more the counts vary than independent tokens.
+// dispersion returns the variance of the counts relative to that of independent
+// tokens, at least 1.
 func (c *layerCounts) dispersion() float64 {
-	least := 1.0
-	if len(c.dispersions) < knownWindows {
-		least = assumedDispersion
+	minDispersion := 1.0
+	if len(c.dispersions) < minDispersionWindows {
+		minDispersion = initialDispersion
 	}
 	if len(c.dispersions) == 0 {
-		return least
+		return minDispersion
 	}
 	sorted := slices.Sorted(slices.Values(c.dispersions))
-	return max(least, sorted[len(sorted)/2])
+	return max(minDispersion, sorted[len(sorted)/2])
 }
 
-// newest is estimate with what a window that has yet to be confirmed has of the
-// time after a swap taken for the popularity.
-func (c *layerCounts) newest() (share, deviation []float64) {
+// provisional is like estimate, but uses only the new part of a pending window if
+// there is one.
+func (c *layerCounts) provisional() (share, deviation []float64) {
 	if c.pending.total == 0 {
 		return c.estimate()
 	}
-	swapped := layerCounts{
-		counts: c.rest.counts, total: c.rest.total, totalSquare: c.rest.total, dispersions: c.dispersions,
+	shifted := layerCounts{
+		counts: c.pendingNew.counts, total: c.pendingNew.total, totalSquare: c.pendingNew.total, dispersions: c.dispersions,
 	}
-	return swapped.estimate()
+	return shifted.estimate()
 }
 
 func (c *layerCounts) estimate() (share, deviation []float64) {
@@ -175,11 +182,11 @@
 		}
 		return share, deviation
 	}
-	sample := c.total * c.total / c.totalSquare
+	sampleSize := c.total * c.total / c.totalSquare
 	dispersion := c.dispersion()
 	for e, n := range c.counts {
 		share[e] = n / c.total
-		deviation[e] = math.Sqrt(dispersion * share[e] * (1 - share[e]) / sample)
+		deviation[e] = math.Sqrt(dispersion * share[e] * (1 - share[e]) / sampleSize)
 	}
 	return share, deviation
 }
--- a/internal/decide/burdockexpert/decision.go
+++ b/internal/decide/burdockexpert/decision.go
@@ -6,77 +6,78 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// Decision is what a planner wants done: a Stay or a Move.
+// Decision is the result of planning: a Stay or a Move.
 type Decision interface {
 	isDecision()
 }
 
-// Stay keeps the present map.
+// Stay keeps the current map.
 type Stay struct {
 	Reason   Reason
-	Findings burdockfinding.List // for ReasonInputInvalid and ReasonPlannerFault: what is wrong
+	Findings burdockfinding.List // only for ReasonInputInvalid and ReasonPlannerFault
 }
 
-// Move replaces the present map.
+// Move replaces the current map.
 type Move struct {
 	Reason Reason
 	Map    *Map
 	Loads  []ExpertLoad
-	Cost   burdockclock.Millis // time that the weight store needs
-	// Saving is the time that the steps are expected to lose less until the
-	// popularity changes, with the noise's part taken off. It says nothing
-	// of the part of a move that need forced.
+	Cost   burdockclock.Millis // time that the weight store needs for Loads
+	// Saving is the time that the steps are expected to save within the
+	// horizon, less the part that may be noise. It does not include the
+	// effect of the loads that make an unusable map usable.
 	Saving burdockclock.Millis
 }
 
 func (Stay) isDecision() {}
 func (Move) isDecision() {}
 
-// ExpertLoad orders a rank to fetch an expert. What a rank holds and the new map
-// does not name is dropped; that costs nothing.
+// ExpertLoad is an expert that a rank has to load from the weight store. Experts
+// that the new map no longer places on a rank are dropped, which costs nothing.
 type ExpertLoad struct {
 	Layer  burdockid.Layer
 	Rank   burdockid.Rank
 	Expert burdockid.Expert
 }
 
-// Reason says why a decision was taken.
+// Reason is the reason for a decision.
 type Reason string
 
 // The reasons of a Stay.
 const (
-	// ReasonInputInvalid: the input has findings, so nothing could be decided.
+	// ReasonInputInvalid: the input did not pass its check.
 	ReasonInputInvalid Reason = "inputInvalid"
-	// ReasonNothingToGain: no change was found that lowers the skew.
+	// ReasonNothingToGain: no change was found that lowers the imbalance.
 	ReasonNothingToGain Reason = "nothingToGain"
-	// ReasonCostOutweighsSaving: moving costs more than the skew that it saves is worth.
+	// ReasonCostOutweighsSaving: loading the experts costs more than it saves.
 	ReasonCostOutweighsSaving Reason = "costOutweighsSaving"
-	// ReasonSavingWithinNoise: the saving is no larger than what noise in the popularity
-	// makes appear by itself.
+	// ReasonSavingWithinNoise: noise in the popularity alone may explain the
+	// saving.
 	ReasonSavingWithinNoise Reason = "savingWithinNoise"
 )
 
-// ReasonPlannerFault is the reason of a Stay too: the planner made a map that fails
-// its own check.
+// ReasonPlannerFault is a reason of a Stay too: the computed map did not pass its
+// check, which is a bug in the planner.
 const ReasonPlannerFault Reason = "plannerFault"
 
 // The reasons of a Move.
 const (
-	// ReasonFirstPlacement: there was no map of this shape.
+	// ReasonFirstPlacement: there is no current map of this shape.
 	ReasonFirstPlacement Reason = "firstPlacement"
-	// ReasonMapUnusable: the present map can't be used, because a rank was lost,
-	// replaced, or has less memory than before.
+	// ReasonMapUnusable: the current map can't be used, as a rank was lost or
+	// replaced or has fewer slots than before.
 	ReasonMapUnusable Reason = "presentMapUnusable"
-	// ReasonSavingOutweighsCost: the skew saved is worth more than the move.
+	// ReasonSavingOutweighsCost: the change saves more than its loads cost.
 	ReasonSavingOutweighsCost Reason = "savingOutweighsCost"
 )
 
-// RequiredLoads returns what ranks have to fetch to get from one map to another.
+// RequiredLoads returns the experts that the ranks have to load to get from one
+// map to another.
 func RequiredLoads(from, to *Map) []ExpertLoad {
 	var list []ExpertLoad
 	for l := range burdockid.Layer(to.shape.Layers) {
 		for r := range burdockid.Rank(to.shape.Ranks) {
-			for _, e := range to.holds[to.index(l, r)] {
+			for _, e := range to.placement[to.index(l, r)] {
 				if !from.Holds(l, r, burdockid.Expert(e)) {
 					list = append(list, ExpertLoad{Layer: l, Rank: r, Expert: burdockid.Expert(e)})
 				}
--- a/internal/decide/burdockexpert/difference_test.go
+++ b/internal/decide/burdockexpert/difference_test.go
@@ -25,9 +25,9 @@
 // moveSome has one in so many places of a map hold another expert.
 func moveSome(random *rand.Rand, m *Map, oneIn int) *Map {
 	out := m.clone()
-	for i, held := range out.holds {
+	for i, held := range out.placement {
 		if len(held) > 0 && random.IntN(oneIn) == 0 {
-			out.holds[i] = onlyInOne(held, []uint16{held[random.IntN(len(held))]})
+			out.placement[i] = symmetricDifference(held, []uint16{held[random.IntN(len(held))]})
 			l, r := burdockid.Layer(i/m.shape.Ranks), burdockid.Rank(i%m.shape.Ranks)
 			out.Add(l, r, burdockid.Expert(random.IntN(m.shape.Experts)))
 		}
--- a/internal/decide/burdockexpert/input.go
+++ b/internal/decide/burdockexpert/input.go
@@ -9,54 +9,57 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// Rank is what a planner knows of one rank.
+// Rank is what a planner knows about one rank.
 type Rank struct {
-	// Slots is the number of experts that the rank has memory for in each
-	// layer. Donated hardware differs. 0 stands for a rank that is gone.
+	// Slots is the number of experts per layer that fit into the rank's memory.
+	// It may differ between ranks, as their hardware does. 0 means that the
+	// rank is lost.
 	Slots int
-	// Speed is the rank's speed against its peers: 1 is normal, 0.5 takes
-	// twice the time for the same load.
+	// Speed is the rank's speed relative to its peers: 1 is normal, at 0.5 the
+	// same tokens take twice the time.
 	Speed float64
-	// MaxLayerLoads is the number of new experts of one layer that the rank can load
-	// beside those in use; 0 is no bound. It does not hold for a rank that is
-	// Empty or a map that has to be repaired.
+	// MaxLayerLoads is the number of new experts per layer that the rank can
+	// load while the old ones are still in use; 0 means no limit. It does not
+	// apply to loads that make a map usable again, such as those of an Empty
+	// rank.
 	MaxLayerLoads int
-	// MaxTotalLoads is the same over all layers together; 0 is no bound. A change is
-	// in force only when the last rank has loaded.
+	// MaxTotalLoads limits the new experts of all layers together; 0 means no
+	// limit. A new map takes effect only when the last rank has loaded it.
 	MaxTotalLoads int
-	// Empty marks a rank that was replaced and holds nothing, whatever the
-	// present map says.
+	// Empty marks a rank that was replaced and holds no experts, whatever the
+	// current map states.
 	Empty bool
 }
 
-// Weights is the exchange rate of a profile: Skew times the time lost to
-// uneven ranks is worth Cost times the time spent moving experts.
+// Weights are a profile's weights of the two sides of a decision: the time lost
+// to skew between the ranks counts Skew times, the time spent on loading
+// experts Cost times.
 type Weights struct {
 	Skew float64
 	Cost float64
 }
 
-// Input is all that one decision rests on.
+// Input is everything that one decision depends on.
 type Input struct {
 	Popularity Snapshot
-	Current    *Map // nil before the first placement
+	Current    *Map // the map in use; nil before the first placement
 	Ranks      []Rank
 	Weights    Weights
 	// ExpertBytes is the size of the weights of one expert of one layer.
 	ExpertBytes burdockid.Bytes
 	// StoreRate is the weight store's rate limit for the group.
 	StoreRate burdockid.BytesPerSecond
-	// Horizon is how long the popularity is expected to stay as it is.
+	// Horizon is the time for which the popularity is expected to stay as it is.
 	Horizon burdockclock.Millis
 }
 
 const (
-	// minSpeed and maxSpeed bound how far a rank is taken to be from its
-	// peers: beyond them a rank is as good as gone, or its measurement wrong,
-	// and its time would drown every other rank's.
+	// minSpeed and maxSpeed bound a rank's speed. Beyond them the rank is as
+	// good as lost or was measured wrongly, and its time would outweigh that
+	// of all other ranks.
 	minSpeed = 0.01
 	maxSpeed = 100
-	// millisPerSecond converts the rate limit's unit.
+	// millisPerSecond converts seconds to milliseconds.
 	millisPerSecond = 1000
 )
 
@@ -65,13 +68,14 @@
 	return Shape{Layers: len(in.Popularity.Share), Ranks: len(in.Ranks), Experts: in.Popularity.Experts}
 }
 
-// moveCost returns the time that the weight store takes to deliver n experts.
-func (in *Input) moveCost(n int) burdockclock.Millis {
-	return burdockclock.Millis(math.Ceil(float64(n) * in.perMove()))
+// loadTime returns the time that the weight store takes to deliver n experts,
+// rounded up.
+func (in *Input) loadTime(n int) burdockclock.Millis {
+	return burdockclock.Millis(math.Ceil(float64(n) * in.millisPerLoad()))
 }
 
-// perMove returns the cost of one move in milliseconds, with its fraction.
-func (in *Input) perMove() float64 {
+// millisPerLoad returns the time to load one expert in milliseconds, unrounded.
+func (in *Input) millisPerLoad() float64 {
 	return float64(in.ExpertBytes) * millisPerSecond / float64(in.StoreRate)
 }
 
@@ -87,9 +91,9 @@
 		return list
 	}
 	in.checkPopularity(add)
-	room := 0
+	totalSlots := 0
 	for r, rank := range in.Ranks {
-		room += min(max(0, rank.Slots), s.Experts)
+		totalSlots += min(max(0, rank.Slots), s.Experts)
 		if rank.Slots < 0 {
 			add(fmt.Sprintf("ranks.%d.slots", r), fmt.Sprintf("is %d", rank.Slots), "0 or more")
 		}
@@ -97,8 +101,8 @@
 			add(fmt.Sprintf("ranks.%d.speed", r), fmt.Sprintf("is %g", rank.Speed), fmt.Sprintf("from %g to %g", minSpeed, float64(maxSpeed)))
 		}
 	}
-	if room < s.Experts {
-		add("ranks", fmt.Sprintf("have %d slots together", room), fmt.Sprintf("at least %d", s.Experts))
+	if totalSlots < s.Experts {
+		add("ranks", fmt.Sprintf("have %d slots together", totalSlots), fmt.Sprintf("at least %d", s.Experts))
 	}
 	if !positive(in.Weights.Skew) {
 		add("weights.skew", fmt.Sprintf("is %g", in.Weights.Skew), "above 0")
--- a/internal/decide/burdockexpert/layer.go
+++ b/internal/decide/burdockexpert/layer.go
@@ -2,70 +2,70 @@
 
 import "slices"
 
-// layerState is the map of one layer while it is being changed, with the time
-// of each rank kept up to date. Times are in units of the balanced time: the
-// one that each rank would take if the load were spread by the ranks' speeds.
+// layerState is the placement of one layer while it is being changed, together
+// with the resulting time of each rank. Times are relative to the balanced time,
+// which each rank takes if the tokens are split in proportion to the speeds.
 type layerState struct {
-	shape   Shape
-	slots   []int
-	most    []int     // by rank: loads that it can take, see Rank.MaxLayerLoads
-	news    []int     // by rank: what it has to load to get here from origin
-	inverse []float64 // time that a unit of share takes on the rank
-	usable  int       // ranks with slots
-
-	share      []float64
-	parts      []float64  // by expert: the share that each replica carries
-	held       [][]uint16 // by rank, in no order
-	holders    [][]uint16 // by expert, in no order
-	has        []bool     // by rank and expert
-	origin     []bool     // as has, when the state was reset
-	time       []float64  // by rank
-	power      []float64  // by rank: potential(time)
-	pinned     []bool     // as has: replicas that a kick placed
-	kicks      int        // left, see relieve
-	freeChange float64    // see freeChanges
-	loads      int        // what the ranks have to fetch to get here from origin
-
-	delta   []float64 // scratch: change of time by rank
-	touched []int     // scratch: ranks with an entry in delta
-	mark    []bool    // scratch: by rank
+	shape        Shape
+	slots        []int
+	maxLoads     []int     // by rank: limit of newLoads
+	newLoads     []int     // by rank: experts that it has to load
+	timePerShare []float64 // by rank: its time with all of the layer's tokens
+	usableRanks  int       // number of ranks with slots
+
+	share         []float64
+	replicaShares []float64  // by expert: share of each of its replicas
+	held          [][]uint16 // experts by rank, unordered
+	holders       [][]uint16 // ranks by expert, unordered
+	has           []bool     // by rank and expert: whether it is in held
+	loaded        []bool     // as has: what needs no load
+	rankTime      []float64  // by rank
+	rankPotential []float64  // potential(rankTime)
+	pinned        []bool     // as has: replicas that a perturbation placed
+	perturbations int        // number left, see findChange
+	zeroLoadCost  float64    // see zeroLoadCosts
+	totalLoads    int        // sum of newLoads
+
+	timeDelta []float64 // scratch: change of time by rank
+	touched   []int     // scratch: ranks with an entry in timeDelta
+	isTouched []bool    // scratch: by rank
 }
 
 func newLayerState(s Shape, ranks []Rank) *layerState {
 	st := &layerState{
-		freeChange: freeChanges[0],
-		shape:      s,
-		slots:      make([]int, s.Ranks),
-		most:       make([]int, s.Ranks),
-		news:       make([]int, s.Ranks),
-		inverse:    make([]float64, s.Ranks),
-		parts:      make([]float64, s.Experts),
-		held:       make([][]uint16, s.Ranks),
-		holders:    make([][]uint16, s.Experts),
-		has:        make([]bool, s.Ranks*s.Experts),
-		origin:     make([]bool, s.Ranks*s.Experts),
-		pinned:     make([]bool, s.Ranks*s.Experts),
-		time:       make([]float64, s.Ranks),
-		power:      make([]float64, s.Ranks),
-		delta:      make([]float64, s.Ranks),
-		mark:       make([]bool, s.Ranks),
+		zeroLoadCost:  zeroLoadCosts[0],
+		shape:         s,
+		slots:         make([]int, s.Ranks),
+		maxLoads:      make([]int, s.Ranks),
+		newLoads:      make([]int, s.Ranks),
+		timePerShare:  make([]float64, s.Ranks),
+		replicaShares: make([]float64, s.Experts),
+		held:          make([][]uint16, s.Ranks),
+		holders:       make([][]uint16, s.Experts),
+		has:           make([]bool, s.Ranks*s.Experts),
+		loaded:        make([]bool, s.Ranks*s.Experts),
+		pinned:        make([]bool, s.Ranks*s.Experts),
+		rankTime:      make([]float64, s.Ranks),
+		rankPotential: make([]float64, s.Ranks),
+		timeDelta:     make([]float64, s.Ranks),
+		isTouched:     make([]bool, s.Ranks),
 	}
 	speeds := 0.0
 	for r, rank := range ranks {
 		st.slots[r] = min(max(0, rank.Slots), s.Experts)
-		st.most[r] = s.Experts
+		st.maxLoads[r] = s.Experts
 		if st.slots[r] > 0 {
 			speeds += rank.Speed
-			st.usable++
+			st.usableRanks++
 		}
 	}
 	for r, rank := range ranks {
-		st.inverse[r] = speeds / rank.Speed
+		st.timePerShare[r] = speeds / rank.Speed
 	}
 	return st
 }
 
-// reset starts from what the ranks hold, which counts as fetched already.
+// reset starts with the given experts of each rank, all of them loaded.
 func (st *layerState) reset(share []float64, held [][]uint16) {
 	st.share = share
 	clear(st.has)
@@ -80,136 +80,142 @@
 		}
 	}
 	for e := range st.holders {
-		st.repart(e)
+		st.updateReplicaShare(e)
 	}
-	copy(st.origin, st.has)
-	clear(st.news)
+	copy(st.loaded, st.has)
+	clear(st.newLoads)
 	clear(st.pinned)
-	st.kicks = layerKicks
-	st.loads = 0
-	st.retime()
+	st.perturbations = maxPerturbations
+	st.totalLoads = 0
+	st.recomputeTimes()
 }
 
-// startFrom counts as fetched what the ranks held before a repair, so that the
-// repair's own fetches may still go elsewhere at no further price.
-func (st *layerState) startFrom(held [][]uint16) {
-	clear(st.origin)
-	clear(st.news)
-	st.loads = 0
+// setLoaded sets the experts that the ranks have loaded already. After a repair
+// these are the ones from before it, so that the search can still place a load of
+// the repair on another rank without counting one more.
+func (st *layerState) setLoaded(held [][]uint16) {
+	clear(st.loaded)
+	clear(st.newLoads)
+	st.totalLoads = 0
 	for r, list := range held {
 		for _, e := range list {
-			st.origin[r*st.shape.Experts+int(e)] = true
+			st.loaded[r*st.shape.Experts+int(e)] = true
 		}
 	}
 	for at, has := range st.has {
-		if has && !st.origin[at] {
-			st.loads++
-			st.news[at/st.shape.Experts]++
+		if has && !st.loaded[at] {
+			st.totalLoads++
+			st.newLoads[at/st.shape.Experts]++
 		}
 	}
 }
 
-// retime computes all times afresh.
-func (st *layerState) retime() {
+// recomputeTimes computes the time of each rank from its experts.
+func (st *layerState) recomputeTimes() {
 	for r, held := range st.held {
-		load := 0.0
+		share := 0.0
 		for _, e := range held {
-			load += st.part(int(e))
+			share += st.replicaShare(int(e))
 		}
-		st.time[r] = load * st.inverse[r]
-		st.power[r] = potential(st.time[r])
+		st.rankTime[r] = share * st.timePerShare[r]
+		st.rankPotential[r] = potential(st.rankTime[r])
 	}
 }
 
-// part returns the share that each replica of an expert carries.
-func (st *layerState) part(e int) float64 { return st.parts[e] }
+// replicaShare returns the share of the layer's tokens that each replica of an
+// expert gets.
+func (st *layerState) replicaShare(e int) float64 { return st.replicaShares[e] }
 
-func (st *layerState) repart(e int) { st.parts[e] = st.share[e] / float64(max(1, len(st.holders[e]))) }
+func (st *layerState) updateReplicaShare(e int) {
+	st.replicaShares[e] = st.share[e] / float64(max(1, len(st.holders[e])))
+}
 
 func (st *layerState) holds(r, e int) bool { return st.has[r*st.shape.Experts+e] }
 
-func (st *layerState) free(r int) bool { return len(st.held[r]) < st.slots[r] }
+func (st *layerState) hasFreeSlot(r int) bool { return len(st.held[r]) < st.slots[r] }
 
-// add lets a rank hold an expert; times are left as they were.
+// add places an expert on a rank. It does not update the times.
 func (st *layerState) add(r, e int) {
 	at := r*st.shape.Experts + e
 	st.has[at] = true
 	st.held[r] = append(st.held[r], uint16(e))
 	st.holders[e] = append(st.holders[e], uint16(r))
-	st.repart(e)
-	if !st.origin[at] {
-		st.loads++
-		st.news[r]++
+	st.updateReplicaShare(e)
+	if !st.loaded[at] {
+		st.totalLoads++
+		st.newLoads[r]++
 	}
 }
 
-// drop is the reverse of add.
-func (st *layerState) drop(r, e int) {
+// remove is the reverse of add.
+func (st *layerState) remove(r, e int) {
 	at := r*st.shape.Experts + e
 	st.has[at] = false
-	st.held[r] = without(st.held[r], e)
-	st.holders[e] = without(st.holders[e], r)
-	st.repart(e)
-	if !st.origin[at] {
-		st.loads--
-		st.news[r]--
+	st.held[r] = removeValue(st.held[r], e)
+	st.holders[e] = removeValue(st.holders[e], r)
+	st.updateReplicaShare(e)
+	if !st.loaded[at] {
+		st.totalLoads--
+		st.newLoads[r]--
 	}
 }
 
-func without(list []uint16, v int) []uint16 {
+func removeValue(list []uint16, v int) []uint16 {
 	i := slices.Index(list, uint16(v))
 	list[i] = list[len(list)-1]
 	return list[:len(list)-1]
 }
 
-// price returns what add would add to loads.
-func (st *layerState) price(r, e int) int {
-	if st.origin[r*st.shape.Experts+e] {
+// loadsToAdd returns by how much add would raise totalLoads.
+func (st *layerState) loadsToAdd(r, e int) int {
+	if st.loaded[r*st.shape.Experts+e] {
 		return 0
 	}
 	return 1
 }
 
-// mayAdd reports whether a rank can load an expert if it has not got it.
-func (st *layerState) mayAdd(r, e int) bool {
-	return st.news[r]+st.price(r, e) <= st.most[r]
+// canAdd reports whether a rank has the expert loaded or may load one more.
+func (st *layerState) canAdd(r, e int) bool {
+	return st.newLoads[r]+st.loadsToAdd(r, e) <= st.maxLoads[r]
 }
 
-// slowest returns the rank with the largest time.
+// slowest returns the rank with the maximum time.
 func (st *layerState) slowest() int {
 	at := 0
-	for r, t := range st.time {
-		if t > st.time[at] {
+	for r, t := range st.rankTime {
+		if t > st.rankTime[at] {
 			at = r
 		}
 	}
 	return at
 }
 
-func (st *layerState) largest() float64 { return st.time[st.slowest()] }
+func (st *layerState) maxTime() float64 { return st.rankTime[st.slowest()] }
 
-// mean returns the mean time of the ranks that have slots.
-func (st *layerState) mean() float64 {
+// meanTime returns the mean time of the ranks that have slots.
+func (st *layerState) meanTime() float64 {
 	sum := 0.0
-	for _, t := range st.time {
+	for _, t := range st.rankTime {
 		sum += t
 	}
-	return sum / float64(st.usable)
+	return sum / float64(st.usableRanks)
 }
 
-// copyHeld returns a copy of what the ranks hold, in ascending order.
-func (st *layerState) copyHeld(into [][]uint16) [][]uint16 {
-	if into == nil {
-		into = make([][]uint16, len(st.held))
+// copyHeld copies the experts of each rank, in ascending order, to dst and
+// returns it. It allocates dst if it is nil.
+func (st *layerState) copyHeld(dst [][]uint16) [][]uint16 {
+	if dst == nil {
+		dst = make([][]uint16, len(st.held))
 	}
 	for r, held := range st.held {
-		into[r] = append(into[r][:0], held...)
-		slices.Sort(into[r])
+		dst[r] = append(dst[r][:0], held...)
+		slices.Sort(dst[r])
 	}
-	return into
+	return dst
 }
 
-// layer returns what each rank holds in a layer.
+// layer returns the experts of each rank in a layer. Changes to the result change
+// the map.
 func (m *Map) layer(l int) [][]uint16 {
-	return m.holds[l*m.shape.Ranks : (l+1)*m.shape.Ranks]
+	return m.placement[l*m.shape.Ranks : (l+1)*m.shape.Ranks]
 }
--- a/internal/decide/burdockexpert/map.go
+++ b/internal/decide/burdockexpert/map.go
@@ -8,22 +8,22 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// Map says which experts each rank of a group holds in each layer. A rank
+// Map states which experts each rank of a group holds in each layer. A rank
 // holds an expert of a layer at most once. The zero value has no layers.
 type Map struct {
-	shape Shape
-	holds [][]uint16 // by layer and then rank; each in ascending order
+	shape     Shape
+	placement [][]uint16 // experts by layer and then rank, each list ascending
 }
 
-// Shape is the extent of a map.
+// Shape is the size of a map in each dimension.
 type Shape struct {
 	Layers  int `json:"layers"`
 	Ranks   int `json:"ranks"`
-	Experts int `json:"experts"` // in each layer
+	Experts int `json:"experts"` // per layer
 }
 
-// Limits of a shape. They bound what a decoder allocates and what an expert's
-// number needs in memory; each is far above the sizes that the project is for.
+// Limits of a shape. They bound what a decoder allocates and let an expert's
+// number fit into 16 bits; each is far above the supported group sizes.
 const (
 	maxLayers  = 1 << 10
 	maxRanks   = 1 << 12
@@ -31,10 +31,10 @@
 )
 
 func (s Shape) valid() bool {
-	return within(s.Layers, maxLayers) && within(s.Ranks, maxRanks) && within(s.Experts, maxExperts)
+	return inRange(s.Layers, maxLayers) && inRange(s.Ranks, maxRanks) && inRange(s.Experts, maxExperts)
 }
 
-func within(n, limit int) bool { return n > 0 && n <= limit }
+func inRange(n, limit int) bool { return n > 0 && n <= limit }
 
 // NewMap returns a map of the given shape in which no rank holds anything. It
 // panics when the shape is outside the package's limits.
@@ -42,35 +42,36 @@
 	if !s.valid() {
 		panic(fmt.Sprintf("burdockexpert: shape %+v is out of limits", s))
 	}
-	return &Map{shape: s, holds: make([][]uint16, s.Layers*s.Ranks)}
+	return &Map{shape: s, placement: make([][]uint16, s.Layers*s.Ranks)}
 }
 
-// Shape returns the extent of m.
+// Shape returns the number of layers, ranks and experts of m.
 func (m *Map) Shape() Shape { return m.shape }
 
-// Add lets a rank hold an expert. It reports whether that is new.
+// Add places an expert on a rank. It reports whether the rank did not hold it
+// before.
 func (m *Map) Add(l burdockid.Layer, r burdockid.Rank, e burdockid.Expert) bool {
 	if e < 0 || int(e) >= m.shape.Experts {
 		panic(fmt.Sprintf("burdockexpert: expert %d is out of range", e))
 	}
 	at := m.index(l, r)
-	i, found := slices.BinarySearch(m.holds[at], uint16(e))
+	i, found := slices.BinarySearch(m.placement[at], uint16(e))
 	if found {
 		return false
 	}
-	m.holds[at] = slices.Insert(m.holds[at], i, uint16(e))
+	m.placement[at] = slices.Insert(m.placement[at], i, uint16(e))
 	return true
 }
 
 // Holds reports whether a rank holds an expert.
 func (m *Map) Holds(l burdockid.Layer, r burdockid.Rank, e burdockid.Expert) bool {
-	_, found := slices.BinarySearch(m.holds[m.index(l, r)], uint16(e))
+	_, found := slices.BinarySearch(m.placement[m.index(l, r)], uint16(e))
 	return found
 }
 
-// Experts returns what a rank holds in a layer, in ascending order.
+// Experts returns the experts that a rank holds in a layer, in ascending order.
 func (m *Map) Experts(l burdockid.Layer, r burdockid.Rank) []burdockid.Expert {
-	held := m.holds[m.index(l, r)]
+	held := m.placement[m.index(l, r)]
 	experts := make([]burdockid.Expert, len(held))
 	for i, e := range held {
 		experts[i] = burdockid.Expert(e)
@@ -78,14 +79,14 @@
 	return experts
 }
 
-// Equal reports whether both maps are the same in shape and content.
+// Equal reports whether both maps have the same shape and placement.
 func (m *Map) Equal(other *Map) bool {
-	return m.shape == other.shape && slices.EqualFunc(m.holds, other.holds, slices.Equal[[]uint16])
+	return m.shape == other.shape && slices.EqualFunc(m.placement, other.placement, slices.Equal[[]uint16])
 }
 
-// Check returns what makes m unusable by ranks of the given memory: an expert
-// that no rank holds, so that its tokens could not be computed, and a rank
-// that holds more than it has room for, so that it could not load the map.
+// Check returns what makes m unusable for the given ranks: an expert that no
+// rank holds, as its tokens can't be computed; a rank with more experts than
+// slots, as it can't load the map; and an encoding larger than MaxEncodedSize.
 func (m *Map) Check(ranks []Rank) burdockfinding.List {
 	var list burdockfinding.List
 	if len(ranks) != m.shape.Ranks {
@@ -97,7 +98,7 @@
 		return list
 	}
 	for l := range burdockid.Layer(m.shape.Layers) {
-		m.checkCover(&list, l)
+		m.checkCoverage(&list, l)
 		m.checkMemory(&list, l, ranks)
 	}
 	if size := m.encodedSize(); size > MaxEncodedSize {
@@ -110,10 +111,10 @@
 	return list
 }
 
-func (m *Map) checkCover(list *burdockfinding.List, l burdockid.Layer) {
+func (m *Map) checkCoverage(list *burdockfinding.List, l burdockid.Layer) {
 	covered := make([]bool, m.shape.Experts)
 	for r := range burdockid.Rank(m.shape.Ranks) {
-		for _, e := range m.holds[m.index(l, r)] {
+		for _, e := range m.placement[m.index(l, r)] {
 			covered[e] = true
 		}
 	}
@@ -130,7 +131,7 @@
 
 func (m *Map) checkMemory(list *burdockfinding.List, l burdockid.Layer, ranks []Rank) {
 	for r := range burdockid.Rank(m.shape.Ranks) {
-		if n := len(m.holds[m.index(l, r)]); n > ranks[r].Slots {
+		if n := len(m.placement[m.index(l, r)]); n > ranks[r].Slots {
 			list.Add(burdockfinding.Finding{
 				Key:  fmt.Sprintf("layers.%d.ranks.%d", l, r),
 				What: fmt.Sprintf("holds %d experts", n),
@@ -149,9 +150,9 @@
 
 // clone returns a copy that shares nothing with m.
 func (m *Map) clone() *Map {
-	c := &Map{shape: m.shape, holds: make([][]uint16, len(m.holds))}
-	for i, held := range m.holds {
-		c.holds[i] = slices.Clone(held)
+	c := &Map{shape: m.shape, placement: make([][]uint16, len(m.placement))}
+	for i, held := range m.placement {
+		c.placement[i] = slices.Clone(held)
 	}
 	return c
 }
--- a/internal/decide/burdockexpert/planner.go
+++ b/internal/decide/burdockexpert/planner.go
@@ -1,53 +1,59 @@
 // Package burdockexpert decides which rank of a lock-stepped group holds which
-// experts. All ranks wait for the slowest in each layer, so one rank with too
-// many hot experts holds back the whole group; yet each expert that is moved
-// takes time at the rate-limited weight store. A Planner weighs the one
-// against the other.
+// experts. All ranks wait for the slowest one in each layer, so a single rank
+// with too many hot experts slows down the whole group. Loading an expert takes
+// time at the rate-limited weight store, though. A Planner weighs the time saved
+// against the time spent on loading.
 //
-// The package is pure: no clock, no randomness, no input or output. The same
-// calls give the same decisions.
+// Terms: a rank's time in a layer is its part of the layer's tokens divided by
+// its speed. Skew is how far the largest rank time exceeds the mean; imbalance
+// is the same relative to the time of a perfect split by speed. Popularity is
+// how a layer's tokens spread over its experts. An expert may have replicas on
+// several ranks, which share its tokens evenly.
+//
+// The package uses no clock, no randomness and no I/O: the same calls give the
+// same decisions.
 package burdockexpert
 
 import (
 	"burdockbend.example/burdockbend/internal/base/burdockclock"
 )
 
-// Config sets a planner's limits. A field that is 0 takes its default.
+// Config sets a planner's limits. A field that is 0 or less gets its default.
 type Config struct {
-	// NoiseMargin is the number of times that a layer's saving has to exceed
-	// the skew that noise alone makes appear.
+	// NoiseMargin is how many times larger than the skew that noise alone
+	// produces a layer's saving has to be.
 	NoiseMargin float64
-	// MaxLayerChanges bounds the changes tried in one layer.
+	// MaxLayerChanges limits the changes tried in one run of a layer's search.
 	MaxLayerChanges int
-	// MaxTotalChanges bounds the changes tried in one decision, and so its time.
-	// The layers that lose most come first.
+	// MaxTotalChanges limits the changes tried in one decision and thereby the
+	// time it takes. The layers with the largest imbalance come first.
 	MaxTotalChanges int
-	// MaxHistory is the number of decisions kept for the state dump.
+	// MaxHistory limits the decisions kept for the state dump.
 	MaxHistory int
 }
 
 // Defaults of Config.
 const (
-	defaultNoiseMargin  = 3.0
-	defaultLayerChanges = 32
-	defaultTotalChanges = 900
-	defaultHistory      = 32
+	defaultNoiseMargin     = 3.0
+	defaultMaxLayerChanges = 32
+	defaultMaxTotalChanges = 900
+	defaultMaxHistory      = 32
 )
 
 // Planner decides when and how to change a group's map. It is not safe for
 // concurrent use.
 type Planner struct {
-	cfg     Config
-	history []Record
-	changed []*burdockclock.Millis // by layer: when skew last made it change
+	cfg         Config
+	history     []Record
+	lastChanged []*burdockclock.Millis // by layer: last change because of skew; nil if none
 }
 
-// New returns a planner.
+// New returns a planner without history.
 func New(cfg Config) *Planner {
 	setDefault(&cfg.NoiseMargin, defaultNoiseMargin)
-	setDefault(&cfg.MaxLayerChanges, defaultLayerChanges)
-	setDefault(&cfg.MaxTotalChanges, defaultTotalChanges)
-	setDefault(&cfg.MaxHistory, defaultHistory)
+	setDefault(&cfg.MaxLayerChanges, defaultMaxLayerChanges)
+	setDefault(&cfg.MaxTotalChanges, defaultMaxTotalChanges)
+	setDefault(&cfg.MaxHistory, defaultMaxHistory)
 	return &Planner{cfg: cfg}
 }
 
@@ -57,20 +63,20 @@
 	}
 }
 
-// Plan decides on the next map.
+// Plan decides whether to keep the current map or to replace it.
 //
-// Load: a group of 32 ranks with 60 layers of 128 experts whose popularity
-// drifts through the day, asked every few seconds. Harm prevented: a group
-// held back by one rank, and a weight store kept busy by moves that gain
-// nothing. A layer changes only if the time that it is expected to save while
-// the popularity holds, less what noise may feign, is worth more than its
-// fetches at the profile's exchange rate. Layers are judged one by one, because
-// both sides of that sum are sums over layers: so a change is as small as it
-// can be, and layers that are well stay as they are.
+// It is called every few seconds and sized for 32 ranks and 60 layers of 128
+// experts, whose popularity drifts through the day. It prevents a single rank
+// from slowing down the group, and the weight store from being kept busy by
+// loads without benefit. A layer changes only if the time it is expected to
+// save within its horizon, less the part that may be noise, outweighs the time
+// of its loads by the profile's weights. Saving and cost are both sums over the
+// layers, so each layer is decided on its own; balanced layers stay as they
+// are, which keeps changes small.
 func (p *Planner) Plan(now burdockclock.Millis, in Input) Decision {
 	d, rec := p.decide(now, &in)
 	rec.At = now
-	p.remember(rec)
+	p.record(rec)
 	return d
 }
 
@@ -79,55 +85,54 @@
 		return Stay{Reason: ReasonInputInvalid, Findings: list}, Record{Verdict: verdictStay, Reason: ReasonInputInvalid}
 	}
 	if in.Current == nil || in.Current.shape != in.shape() {
-		return p.first(in)
+		return p.placeFirst(in)
 	}
-	w := newWork(p.cfg, in, p.holds(now, in))
-	w.repair()
-	w.improve()
-	for l, improved := range w.improved {
+	run := newPlanRun(p.cfg, in, p.horizons(now, in))
+	run.repair()
+	run.improve()
+	for l, improved := range run.improved {
 		if improved {
-			p.changed[l] = &now
+			p.lastChanged[l] = &now
 		}
 	}
-	return w.decision()
+	return run.decision()
 }
 
-// lastingPart is the part of the time since a layer's last change for which
-// its next change is expected to last.
-const lastingPart = 1.0
+// horizonFactor is the expected lifetime of a layer's next change as a fraction
+// of the time since its last change.
+const horizonFactor = 1.0
 
-// holds returns for each layer how long a change made now is expected to be
-// good for, in milliseconds: no longer than the input says, and no longer than
-// the time since the layer's last change.
+// horizons returns for each layer how long a change made now is expected to
+// stay useful, in milliseconds: at most the input's horizon and at most the time
+// since the layer's last change. A layer that this planner has not changed yet
+// gets the input's horizon.
 //
-// Load: popularity that turns faster than the input's figure says. Harm
-// prevented: a layer that is moved at each decision for a gain that the next
-// decision's move undoes. Reason for the limit: how long the last change stood
-// is the best evidence of how long the next will. When skew grows evenly and
-// each move removes all of it, half of that time would give the least sum;
-// moves remove a part and noise takes its margin, and measured the whole time
-// loses less. A layer that this planner has not changed yet is taken at the
-// input's figure.
-func (p *Planner) holds(now burdockclock.Millis, in *Input) []float64 {
-	holds := make([]float64, len(in.Popularity.Share))
-	if len(p.changed) != len(holds) {
-		p.changed = make([]*burdockclock.Millis, len(holds))
+// When popularity changes faster than the input's horizon, this prevents a layer
+// from being changed in every decision for a saving that the next change undoes.
+// The lifetime of the last change is the best evidence for that of the next. If
+// skew grew linearly and each change removed all of it, half of that time would
+// be optimal. But changes remove only a part of the skew and the noise margin
+// is taken off, and in measurements the whole time lost less.
+func (p *Planner) horizons(now burdockclock.Millis, in *Input) []float64 {
+	horizons := make([]float64, len(in.Popularity.Share))
+	if len(p.lastChanged) != len(horizons) {
+		p.lastChanged = make([]*burdockclock.Millis, len(horizons))
 	}
-	for l := range holds {
-		holds[l] = float64(in.Horizon)
-		if at := p.changed[l]; at != nil {
-			holds[l] = min(holds[l], lastingPart*float64(max(0, now-*at)))
+	for l := range horizons {
+		horizons[l] = float64(in.Horizon)
+		if at := p.lastChanged[l]; at != nil {
+			horizons[l] = min(horizons[l], horizonFactor*float64(max(0, now-*at)))
 		}
 	}
-	return holds
+	return horizons
 }
 
-// first places all experts afresh.
-func (p *Planner) first(in *Input) (Decision, Record) {
+// placeFirst computes the first map of a group, which loads every expert.
+func (p *Planner) placeFirst(in *Input) (Decision, Record) {
 	m := Solve(in.Popularity, in.Ranks)
-	moves := RequiredLoads(NewMap(in.shape()), m)
-	cost := in.moveCost(len(moves))
+	loads := RequiredLoads(NewMap(in.shape()), m)
+	cost := in.loadTime(len(loads))
 	after := mean(Imbalance(m, in.Popularity, in.Ranks))
-	return Move{Reason: ReasonFirstPlacement, Map: m, Loads: moves, Cost: cost},
-		Record{Verdict: verdictMove, Reason: ReasonFirstPlacement, ImbalanceAfter: after, Loads: len(moves), Cost: cost}
+	return Move{Reason: ReasonFirstPlacement, Map: m, Loads: loads, Cost: cost},
+		Record{Verdict: verdictMove, Reason: ReasonFirstPlacement, ImbalanceAfter: after, Loads: len(loads), Cost: cost}
 }
--- a/internal/decide/burdockexpert/popularity.go
+++ b/internal/decide/burdockexpert/popularity.go
@@ -5,18 +5,17 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// Popularity estimates how the tokens of each layer spread over its experts
-// from counts that it is fed. Old counts decay. Beside the shares it keeps an
-// estimate of their noise: a planner that takes noise for drift moves experts
-// for nothing.
+// Popularity estimates from token counts how the tokens of each layer spread over
+// its experts. Old counts decay exponentially. It also estimates the noise of the
+// shares: a planner that mistakes noise for drift loads experts for nothing.
 type Popularity struct {
 	halfLife burdockclock.Millis
 	layers   []layerCounts
 	experts  int
 }
 
-// NewPopularity returns an estimate without counts, in which all experts of a
-// layer are alike and the noise is as large as can be.
+// NewPopularity returns an estimate without counts: all experts of a layer have the
+// same share, and a deviation of 1. A count loses half of its weight in halfLife.
 func NewPopularity(layers, experts int, halfLife burdockclock.Millis) *Popularity {
 	p := &Popularity{halfLife: max(1, halfLife), layers: make([]layerCounts, layers), experts: experts}
 	for i := range p.layers {
@@ -25,10 +24,10 @@
 	return p
 }
 
-// Observe adds the tokens that each expert of a layer was given since the
-// observation before. Counts beyond the number of experts, and those of a layer
-// that the model has not, are left out: an engine that reports for another
-// version of the model must not end the process.
+// Observe adds the number of tokens that each expert of a layer processed since the
+// previous observation. Counts of layers and experts that the model does not have
+// are ignored: an engine that reports for another version of the model must not
+// crash the process.
 func (p *Popularity) Observe(now burdockclock.Millis, l burdockid.Layer, counts []burdockid.Tokens) {
 	if l < 0 || int(l) >= len(p.layers) {
 		return
@@ -40,8 +39,8 @@
 	}
 }
 
-// ShiftPending reports whether the newest counts of some layer break with those before
-// and have yet to be confirmed by the next.
+// ShiftPending reports whether the latest counts of any layer show a shift that the
+// next ones still have to confirm.
 func (p *Popularity) ShiftPending() bool {
 	for i := range p.layers {
 		if p.layers[i].pending.total > 0 {
@@ -51,8 +50,8 @@
 	return false
 }
 
-// ShiftMixed reports whether the newest counts of some layer break with those before
-// and are partly of before, so that they stand for neither.
+// ShiftMixed reports whether any layer has a pending shift whose counts mix the old
+// and the new popularity too much to estimate the new one.
 func (p *Popularity) ShiftMixed() bool {
 	for i := range p.layers {
 		if p.layers[i].pending.total > 0 && p.layers[i].mixed {
@@ -62,22 +61,22 @@
 	return false
 }
 
-// Snapshot is a popularity at one instant.
+// Snapshot is the estimate of a Popularity at one instant.
 type Snapshot struct {
 	Experts int
-	// Share has for each layer and expert the part of the layer's tokens
-	// that the expert gets. The shares of a layer sum to 1.
+	// Share is, by layer and expert, the expert's fraction of the layer's tokens.
+	// The shares of a layer sum to 1.
 	Share [][]float64
-	// Deviation is the standard deviation of the estimate of each share.
+	// Deviation is, by layer and expert, the standard deviation of the share.
 	Deviation [][]float64
 }
 
-// Snapshot returns the present estimate.
+// Snapshot returns the current estimate, without pending shifts.
 func (p *Popularity) Snapshot() Snapshot { return p.snapshot((*layerCounts).estimate) }
 
-// ProvisionalSnapshot is Snapshot with counts that break with those before taken for the
-// popularity at once, before the next confirm it.
-func (p *Popularity) ProvisionalSnapshot() Snapshot { return p.snapshot((*layerCounts).newest) }
+// ProvisionalSnapshot is like Snapshot, but for layers with a pending shift it
+// returns the new popularity before the next counts confirm it.
+func (p *Popularity) ProvisionalSnapshot() Snapshot { return p.snapshot((*layerCounts).provisional) }
 
 func (p *Popularity) snapshot(estimate func(*layerCounts) (share, deviation []float64)) Snapshot {
 	s := Snapshot{Experts: p.experts}
--- a/internal/decide/burdockexpert/property_test.go
+++ b/internal/decide/burdockexpert/property_test.go
@@ -64,7 +64,7 @@
 // objective is what a planner lowers, for a map reached by so many moves.
 func objective(in Input, m *Map, moves int) float64 {
 	lost := (mean(Imbalance(m, in.Popularity, in.Ranks)) - 1) * float64(in.Horizon)
-	return in.Weights.Skew*lost + in.Weights.Cost*float64(moves)*in.perMove()
+	return in.Weights.Skew*lost + in.Weights.Cost*float64(moves)*in.millisPerLoad()
 }
 
 func TestPlanProperties(t *testing.T) {
--- a/internal/decide/burdockexpert/repair.go
+++ b/internal/decide/burdockexpert/repair.go
@@ -1,26 +1,25 @@
 package burdockexpert
 
-// repair makes the layer usable with as few fetches as it can: it trims ranks
-// that hold more than they have room for, and then places each expert that no
-// rank holds. It relies on the slots of all ranks being at least the number of
-// experts: then an uncovered expert leaves either a free slot or an expert
-// that is held twice.
+// repair makes the layer usable with few loads: it drops experts from ranks that
+// hold more than they have slots, and then places each expert that no rank
+// holds. There have to be at least as many slots as experts: then, as long as
+// an expert is unplaced, there is a free slot or an expert with two replicas.
 func (st *layerState) repair() {
 	for r := range st.held {
 		for len(st.held[r]) > st.slots[r] {
-			st.drop(r, st.leastMissed(r))
+			st.remove(r, st.dropCandidate(r))
 		}
 	}
-	st.retime()
+	st.recomputeTimes()
 	for e := range st.holders {
 		if len(st.holders[e]) == 0 {
-			st.place(e)
+			st.placeUncovered(e)
 		}
 	}
 }
 
-// usableNow reports whether every expert is held and no rank is over memory.
-func (st *layerState) usableNow() bool {
+// isUsable reports whether every expert is placed and no rank exceeds its slots.
+func (st *layerState) isUsable() bool {
 	for r, held := range st.held {
 		if len(held) > st.slots[r] {
 			return false
@@ -34,48 +33,50 @@
 	return true
 }
 
-// leastMissed returns the expert that a rank should drop first: the heaviest
-// that another rank holds too, since that relieves it most at no fetch, or
-// else the lightest, whose fetch elsewhere disturbs least.
-func (st *layerState) leastMissed(r int) int {
-	redundant, alone := none, none
+// dropCandidate returns the expert that a rank should drop first: of those with
+// another replica the one with the largest share, as that takes most off the
+// rank and needs no load elsewhere. If there is none, it is the expert with the
+// smallest share, which adds least to the rank that has to load it.
+func (st *layerState) dropCandidate(r int) int {
+	replicated, single := none, none
 	for _, held := range st.held[r] {
 		e := int(held)
 		if len(st.holders[e]) > 1 {
-			if redundant == none || st.part(e) > st.part(redundant) {
-				redundant = e
+			if replicated == none || st.replicaShare(e) > st.replicaShare(replicated) {
+				replicated = e
 			}
 			continue
 		}
-		if alone == none || st.share[e] < st.share[alone] {
-			alone = e
+		if single == none || st.share[e] < st.share[single] {
+			single = e
 		}
 	}
-	if redundant != none {
-		return redundant
+	if replicated != none {
+		return replicated
 	}
-	return alone
+	return single
 }
 
-// place finds room for an expert that no rank holds.
-func (st *layerState) place(e int) {
-	target, evict, least := none, none, 0.0
+// placeUncovered places an expert that no rank holds on the rank that is fastest
+// with it, if necessary in place of an expert that has another replica.
+func (st *layerState) placeUncovered(e int) {
+	target, evict, minTime := none, none, 0.0
 	for r := range st.held {
-		out := none
-		t := st.time[r] + st.share[e]*st.inverse[r]
-		if !st.free(r) {
-			if out = st.lightestRedundant(r); out == none {
+		candidate := none
+		t := st.rankTime[r] + st.share[e]*st.timePerShare[r]
+		if !st.hasFreeSlot(r) {
+			if candidate = st.lightestReplicated(r); candidate == none {
 				continue
 			}
-			t -= st.part(out) * st.inverse[r]
+			t -= st.replicaShare(candidate) * st.timePerShare[r]
 		}
-		if target == none || t < least {
-			target, evict, least = r, out, t
+		if target == none || t < minTime {
+			target, evict, minTime = r, candidate, t
 		}
 	}
 	if evict != none {
-		st.drop(target, evict)
+		st.remove(target, evict)
 	}
 	st.add(target, e)
-	st.retime()
+	st.recomputeTimes()
 }
--- a/internal/decide/burdockexpert/search.go
+++ b/internal/decide/burdockexpert/search.go
@@ -2,62 +2,64 @@
 
 import "math"
 
-// change is one way to relieve the slowest rank of a layer. A field that is
-// not used is none.
+// change is one way to take tokens off the slowest rank of a layer. Unused fields
+// are none.
 type change struct {
-	rank   int  // the slowest
-	expert int  // of rank
-	target int  // the rank that takes expert over, or none: expert is dropped
-	keep   bool // rank keeps expert, so that target gets one more replica
-	evict  int  // of target: dropped to make room
-	swap   int  // of target: goes to rank in exchange
+	source    int  // the slowest rank
+	expert    int  // of source
+	target    int  // rank that gets expert, or none: source only drops it
+	replicate bool // source keeps expert, so target gets one more replica
+	evict     int  // expert that target drops to make room
+	swap      int  // expert that target gives to source in exchange
 }
 
 const none = -1
 
-// potentialDoublings makes potential the power 2^4 = 16. A search that looks
-// at the slowest rank alone stands still when two ranks are equally slow: no
-// single change lowers the largest time. The sum of a high power falls with
-// each rank that gets quicker, and still looks at the slowest first.
-const potentialDoublings = 4
+// potentialSquarings makes potential the power 2^4 = 16. A search that minimises
+// the maximum time gets stuck when two ranks are equally slow, as no single
+// change lowers it. The sum of a high power over all ranks falls whenever a rank
+// gets faster, and the slowest ranks still dominate it.
+const potentialSquarings = 4
 
 func potential(t float64) float64 {
-	for range potentialDoublings {
+	for range potentialSquarings {
 		t *= t
 	}
 	return t
 }
 
-// freeChanges stand for the price of a change that needs no fetch, so that the
-// gain for each fetch is finite. The lower, the more a search prefers changes
-// with few fetches over those with a large gain; neither is always right.
-var freeChanges = [...]float64{0.25, 1}
+// zeroLoadCosts are added to a change's number of loads, so that the gain per load
+// is finite for changes without loads. The lower the value, the more a search
+// prefers changes with few loads to those with a large gain. Neither is always
+// better, so each layer is searched with every value.
+var zeroLoadCosts = [...]float64{0.25, 1}
 
-// relieve finds the change to the slowest rank that lowers the potential most
-// for each fetch. When none lowers it, relieve returns the additional replica
-// that raises it least, as long as the state has kicks left, and pins it.
+// findChange returns the change to the slowest rank that lowers the potential
+// most per load. If no change lowers it, findChange perturbs the state: it
+// returns the additional replica that raises the potential least, and pins it.
+// It reports false if there is neither.
 //
-// Load: an expert that alone is more than a rank's fair time. Harm prevented:
-// a layer that stays uneven because a part of that expert is still too much
-// for any rank that keeps all it has. With the replica in place the changes
-// that follow relieve the rank that took it; it is pinned so that they don't
-// just take it back. The caller goes back to the best state that it saw, so a
-// kick that leads nowhere does no harm but for the time; hence the limit.
-func (st *layerState) relieve(evictable []int) (change, bool) {
+// Perturbations are for an expert that alone exceeds the balanced time of a rank.
+// Without them its layer stays unbalanced, because even a part of that expert is
+// too much for any rank that keeps its other experts. With the replica placed,
+// the following changes take other experts off its rank; pinning prevents them
+// from removing the replica again. Callers return to the best state seen, so a
+// useless perturbation only costs time, which is why their number is limited.
+func (st *layerState) findChange(evictable []int) (change, bool) {
 	slow := st.slowest()
 	for q := range st.held {
-		evictable[q] = st.lightestRedundant(q)
+		evictable[q] = st.lightestReplicated(q)
 	}
 	best, bestValue := change{}, 0.0
-	kick, kickGain := change{target: none}, math.Inf(-1)
-	consider := func(c change, gain float64, fetches int) {
-		if c.keep && gain > kickGain {
-			kick, kickGain = c, gain
+	perturbation, perturbationGain := change{target: none}, math.Inf(-1)
+	consider := func(c change, gain float64, loads int) {
+		if c.replicate && gain > perturbationGain {
+			perturbation, perturbationGain = c, gain
 		}
-		if gain <= minGain*st.power[slow] {
+		if gain <= minGainRatio*st.rankPotential[slow] {
 			return
 		}
-		if value := gain / (float64(fetches) + st.freeChange); value > bestValue {
+		if value := gain / (float64(loads) + st.zeroLoadCost); value > bestValue {
 			best, bestValue = c, value
 		}
 	}
@@ -67,172 +69,173 @@
 			continue
 		}
 		if len(st.holders[e]) > 1 {
-			c := change{rank: slow, expert: e, target: none, evict: none, swap: none}
-			consider(c, st.gain(c), 0)
+			c := change{source: slow, expert: e, target: none, evict: none, swap: none}
+			consider(c, st.potentialGain(c), 0)
 		}
 		for q := range st.held {
-			if q == slow || st.slots[q] == 0 || st.holds(q, e) || st.time[q] >= st.time[slow] {
+			if q == slow || st.slots[q] == 0 || st.holds(q, e) || st.rankTime[q] >= st.rankTime[slow] {
 				continue
 			}
 			st.considerTarget(slow, e, q, evictable[q], consider)
 		}
 	}
-	if bestValue > 0 || kick.target == none || st.kicks == 0 {
+	if bestValue > 0 || perturbation.target == none || st.perturbations == 0 {
 		return best, bestValue > 0
 	}
-	st.kicks--
-	st.pinned[kick.target*st.shape.Experts+kick.expert] = true
-	return kick, true
+	st.perturbations--
+	st.pinned[perturbation.target*st.shape.Experts+perturbation.expert] = true
+	return perturbation, true
 }
 
-// layerKicks bounds the kicks in one layer's search.
-const layerKicks = 3
+// maxPerturbations limits the perturbations in one search of a layer.
+const maxPerturbations = 3
 
-// minGain is the part of the slowest rank's potential below which a gain is
-// taken for rounding.
-const minGain = 1e-9
+// minGainRatio is the fraction of the slowest rank's potential up to which a gain
+// is regarded as a rounding error.
+const minGainRatio = 1e-9
 
-// considerTarget weighs the ways in which rank q can take over expert e.
+// considerTarget considers the changes by which rank q gets expert e: with or
+// without a replica left on the slowest rank, and in exchange for another expert.
 func (st *layerState) considerTarget(slow, e, q, evict int, consider func(change, float64, int)) {
-	if !st.mayAdd(q, e) {
+	if !st.canAdd(q, e) {
 		return
 	}
-	price := st.price(q, e)
-	if st.free(q) || evict != none {
-		if st.free(q) {
+	loads := st.loadsToAdd(q, e)
+	if st.hasFreeSlot(q) || evict != none {
+		if st.hasFreeSlot(q) {
 			evict = none
 		}
-		c := change{rank: slow, expert: e, target: q, evict: evict, swap: none}
-		st.considerTaking(c, price, consider)
-		c.keep = true
-		st.considerTaking(c, price, consider)
+		c := change{source: slow, expert: e, target: q, evict: evict, swap: none}
+		st.considerTransfer(c, loads, consider)
+		c.replicate = true
+		st.considerTransfer(c, loads, consider)
 	}
-	out := st.part(e)
+	out := st.replicaShare(e)
 	for _, held := range st.held[q] {
 		f := int(held)
-		in := st.part(f)
+		in := st.replicaShare(f)
 		if in >= out {
 			continue
 		}
-		slowTime := st.time[slow] - (out-in)*st.inverse[slow]
-		targetTime := st.time[q] + (out-in)*st.inverse[q]
-		if targetTime >= st.time[slow] || st.holds(slow, f) || !st.mayAdd(slow, f) {
+		slowTime := st.rankTime[slow] - (out-in)*st.timePerShare[slow]
+		targetTime := st.rankTime[q] + (out-in)*st.timePerShare[q]
+		if targetTime >= st.rankTime[slow] || st.holds(slow, f) || !st.canAdd(slow, f) {
 			continue
 		}
-		gain := st.power[slow] + st.power[q] - potential(slowTime) - potential(targetTime)
-		c := change{rank: slow, expert: e, target: q, evict: none, swap: f}
-		consider(c, gain, price+st.price(slow, f))
+		gain := st.rankPotential[slow] + st.rankPotential[q] - potential(slowTime) - potential(targetTime)
+		c := change{source: slow, expert: e, target: q, evict: none, swap: f}
+		consider(c, gain, loads+st.loadsToAdd(slow, f))
 	}
 }
 
-// considerTaking weighs a change in which the target takes the expert with
-// nothing in exchange. When that makes the target the slowest rank, the gain is
-// negative and only matters for the choice of a kick; the target's own part of
-// it is near enough then, and far cheaper.
-func (st *layerState) considerTaking(c change, price int, consider func(change, float64, int)) {
-	taken := st.part(c.expert)
-	if c.keep {
+// considerTransfer considers a change in which the target gets the expert without
+// an exchange. If that makes the target the slowest rank, the gain is negative
+// and matters only for the choice of a perturbation. The target's part of the
+// gain is a sufficient approximation then, and much cheaper to compute.
+func (st *layerState) considerTransfer(c change, loads int, consider func(change, float64, int)) {
+	added := st.replicaShare(c.expert)
+	if c.replicate {
 		replicas := float64(len(st.holders[c.expert]))
-		taken *= replicas / (replicas + 1)
+		added *= replicas / (replicas + 1)
 	}
 	if c.evict != none {
-		taken -= st.part(c.evict)
+		added -= st.replicaShare(c.evict)
 	}
-	if t := st.time[c.target] + taken*st.inverse[c.target]; t >= st.time[c.rank] {
-		consider(c, st.power[c.target]-potential(t), price)
+	if t := st.rankTime[c.target] + added*st.timePerShare[c.target]; t >= st.rankTime[c.source] {
+		consider(c, st.rankPotential[c.target]-potential(t), loads)
 		return
 	}
-	consider(c, st.gain(c), price)
+	consider(c, st.potentialGain(c), loads)
 }
 
-// lightestRedundant returns the expert of a rank that another rank holds too
-// and whose loss the rank feels least, or none.
-func (st *layerState) lightestRedundant(r int) int {
-	at, least := none, 0.0
+// lightestReplicated returns, of a rank's experts with another replica, the one
+// with the smallest share per replica, or none.
+func (st *layerState) lightestReplicated(r int) int {
+	lightest, minShare := none, 0.0
 	for _, held := range st.held[r] {
 		e := int(held)
 		if len(st.holders[e]) < 2 {
 			continue
 		}
-		if part := st.part(e); at == none || part < least {
-			at, least = e, part
+		if share := st.replicaShare(e); lightest == none || share < minShare {
+			lightest, minShare = e, share
 		}
 	}
-	return at
+	return lightest
 }
 
-// gain returns by how much a change lowers the sum of potentials.
-func (st *layerState) gain(c change) float64 {
+// potentialGain returns by how much a change lowers the sum of potentials.
+func (st *layerState) potentialGain(c change) float64 {
 	st.touched = st.touched[:0]
-	st.shift(c)
+	st.computeDeltas(c)
 	gain := 0.0
 	for _, r := range st.touched {
-		gain += st.power[r] - potential(st.time[r]+st.delta[r])
-		st.delta[r], st.mark[r] = 0, false
+		gain += st.rankPotential[r] - potential(st.rankTime[r]+st.timeDelta[r])
+		st.timeDelta[r], st.isTouched[r] = 0, false
 	}
 	return gain
 }
 
-// shift writes the changes of time to delta, for changes other than swaps.
-func (st *layerState) shift(c change) {
-	before := st.part(c.expert)
+// computeDeltas computes timeDelta for a change other than a swap.
+func (st *layerState) computeDeltas(c change) {
+	before := st.replicaShare(c.expert)
 	replicas := len(st.holders[c.expert])
 	if c.target == none {
 		replicas--
 	}
-	if c.keep {
+	if c.replicate {
 		replicas++
 	}
 	after := st.share[c.expert] / float64(replicas)
 	if after != before {
 		for _, r := range st.holders[c.expert] {
-			st.touch(int(r), after-before)
+			st.addDelta(int(r), after-before)
 		}
 	}
-	if !c.keep {
-		st.touch(c.rank, -after)
+	if !c.replicate {
+		st.addDelta(c.source, -after)
 	}
 	if c.target != none {
-		st.touch(c.target, after)
+		st.addDelta(c.target, after)
 	}
 	if c.evict != none {
-		st.shiftEvict(c.target, c.evict)
+		st.computeEvictDeltas(c.target, c.evict)
 	}
 }
 
-func (st *layerState) shiftEvict(rank, e int) {
-	before := st.part(e)
+func (st *layerState) computeEvictDeltas(rank, e int) {
+	before := st.replicaShare(e)
 	after := st.share[e] / float64(len(st.holders[e])-1)
 	for _, r := range st.holders[e] {
-		st.touch(int(r), after-before)
+		st.addDelta(int(r), after-before)
 	}
-	st.touch(rank, -after)
+	st.addDelta(rank, -after)
 }
 
-func (st *layerState) touch(r int, share float64) {
-	if !st.mark[r] {
-		st.mark[r] = true
+func (st *layerState) addDelta(r int, share float64) {
+	if !st.isTouched[r] {
+		st.isTouched[r] = true
 		st.touched = append(st.touched, r)
 	}
-	st.delta[r] += share * st.inverse[r]
+	st.timeDelta[r] += share * st.timePerShare[r]
 }
 
-// apply carries a change out.
+// apply makes a change and updates the times.
 func (st *layerState) apply(c change) {
 	if c.evict != none {
-		st.drop(c.target, c.evict)
+		st.remove(c.target, c.evict)
 	}
 	if c.swap != none {
-		st.drop(c.target, c.swap)
+		st.remove(c.target, c.swap)
 	}
-	if !c.keep {
-		st.drop(c.rank, c.expert)
+	if !c.replicate {
+		st.remove(c.source, c.expert)
 	}
 	if c.swap != none {
-		st.add(c.rank, c.swap)
+		st.add(c.source, c.swap)
 	}
 	if c.target != none {
 		st.add(c.target, c.expert)
 	}
-	st.retime()
+	st.recomputeTimes()
 }
--- a/internal/decide/burdockexpert/skew.go
+++ b/internal/decide/burdockexpert/skew.go
@@ -2,64 +2,65 @@
 
 import "math"
 
-// Skew returns for each layer the largest rank time over the mean rank time,
-// given a map that covers every expert. Ranks without slots are left out.
+// Skew returns for each layer the largest rank time divided by the mean rank
+// time. The map has to place every expert. Ranks without slots don't count.
 func Skew(m *Map, s Snapshot, ranks []Rank) []float64 {
 	skews := make([]float64, m.shape.Layers)
 	state := newLayerState(m.shape, ranks)
 	for l := range skews {
 		state.reset(s.Share[l], m.layer(l))
-		skews[l] = state.largest() / state.mean()
+		skews[l] = state.maxTime() / state.meanTime()
 	}
 	return skews
 }
 
-// Imbalance returns for each layer the largest rank time over the time that
-// the layer would take if its load could be cut into any pieces and spread by
-// the ranks' speeds. It is Skew when all ranks are equally fast; when they are
-// not, it can't be improved by slowing the ranks that nobody waits for.
+// Imbalance returns for each layer the largest rank time divided by the balanced
+// time, which is the time of the layer if its tokens could be split among the
+// ranks in exact proportion to their speeds. It equals Skew if all ranks are
+// equally fast. Otherwise Skew also falls when ranks that no rank waits for get
+// more tokens, which saves no time; Imbalance does not.
 func Imbalance(m *Map, s Snapshot, ranks []Rank) []float64 {
 	imbalances := make([]float64, m.shape.Layers)
 	state := newLayerState(m.shape, ranks)
 	for l := range imbalances {
 		state.reset(s.Share[l], m.layer(l))
-		imbalances[l] = state.largest()
+		imbalances[l] = state.maxTime()
 	}
 	return imbalances
 }
 
-// LowerBound returns for each layer an imbalance that no map can beat. Two limits
-// make it: the load can't be spread better than evenly, which is 1; and each
-// replica carries its expert's share over the number of its replicas, of which
-// the ranks have memory for so many and a rank holds no two of one expert.
+// LowerBound returns for each layer an imbalance that no map can go below. It is
+// at least 1, the imbalance of a perfect split. It is larger if popular experts
+// can't be split far enough, as the number of replicas is limited by the slots,
+// and for each expert by the number of ranks.
 func LowerBound(s Snapshot, ranks []Rank) []float64 {
-	slots, speeds, fastest, present := 0, 0.0, 0.0, 0
+	slots, speeds, fastest, usableRanks := 0, 0.0, 0.0, 0
 	for _, rank := range ranks {
 		if rank.Slots <= 0 {
 			continue
 		}
-		present++
+		usableRanks++
 		slots += min(rank.Slots, s.Experts)
 		speeds += rank.Speed
 		fastest = max(fastest, rank.Speed)
 	}
 	bounds := make([]float64, len(s.Share))
 	for l, share := range s.Share {
-		bounds[l] = bound(share, slots, present, speeds/fastest)
+		bounds[l] = lowerBound(share, slots, usableRanks, speeds/fastest)
 	}
 	return bounds
 }
 
-// boundSteps halves the interval often enough for a float's precision.
-const boundSteps = 50
+// bisectionSteps is the number of halvings that reaches a float64's precision.
+const bisectionSteps = 50
 
-// bound finds the least time t at which replicas no heavier than t fit into
-// the slots. A replica of share x takes at least x*inverse on the fastest rank.
-func bound(share []float64, slots, ranks int, inverse float64) float64 {
+// lowerBound finds the smallest time t such that replicas that take at most t on
+// the fastest rank fit into the slots. A share x takes x*timePerShare there.
+func lowerBound(share []float64, slots, ranks int, timePerShare float64) float64 {
 	fits := func(t float64) bool {
 		needed := 0
 		for _, x := range share {
-			replicas := max(1, int(math.Ceil(x*inverse/t)))
+			replicas := max(1, int(math.Ceil(x*timePerShare/t)))
 			if replicas > ranks {
 				return false
 			}
@@ -67,11 +68,11 @@
 		}
 		return needed <= slots
 	}
-	low, high := 1.0, inverse
+	low, high := 1.0, timePerShare
 	if high <= low || fits(low) {
 		return 1
 	}
-	for range boundSteps {
+	for range bisectionSteps {
 		middle := (low + high) / 2
 		if fits(middle) {
 			high = middle
@@ -79,14 +80,14 @@
 			low = middle
 		}
 	}
-	// low does not fit, so that rounding can't lift the bound above the truth.
+	// high fits and may be above the exact bound; low never is.
 	return low
 }
 
-func mean(list []float64) float64 {
+func mean(values []float64) float64 {
 	sum := 0.0
-	for _, v := range list {
+	for _, v := range values {
 		sum += v
 	}
-	return sum / float64(len(list))
+	return sum / float64(len(values))
 }
--- a/internal/decide/burdockexpert/solve.go
+++ b/internal/decide/burdockexpert/solve.go
@@ -5,135 +5,136 @@
 	"slices"
 )
 
-// polishSteps bounds the changes made after a layer was packed afresh. Few
-// are needed: packing by descending share ends close to even.
-const polishSteps = 24
+// maxRefineSteps limits the changes made to a layer after packing. Few are needed,
+// because packing by descending share ends close to balanced.
+const maxRefineSteps = 24
 
-// polishedSkew is the excess over an even layer that polishing leaves: less
-// than noise in the counts feigns, and half of Solve's time to get rid of.
-const polishedSkew = 0.0025
+// refinedExcess is the excess over the balanced time at which refining stops. It
+// is smaller than what noise in the counts produces, and removing the rest would
+// take half of Solve's time.
+const refinedExcess = 0.0025
 
-// Solve returns a map made afresh, with no regard to what ranks hold: the
-// first placement, and what the planner is measured against. The input's
-// popularity and ranks must have passed Check.
+// Solve computes a map from scratch, regardless of what the ranks hold. It is used
+// for the first placement and as a reference for the planner. The popularity and
+// the ranks must have passed Input.Check.
 func Solve(s Snapshot, ranks []Rank) *Map {
 	shape := Shape{Layers: len(s.Share), Ranks: len(ranks), Experts: s.Experts}
 	m := NewMap(shape)
 	st := newLayerState(shape, ranks)
-	nothing := make([][]uint16, shape.Ranks)
+	empty := make([][]uint16, shape.Ranks)
 	evictable := make([]int, shape.Ranks)
 	for l := range s.Share {
-		st.reset(s.Share[l], nothing)
+		st.reset(s.Share[l], empty)
 		st.pack()
-		st.polish(evictable)
+		st.refine(evictable)
 		st.copyHeld(m.layer(l))
 	}
 	return m
 }
 
-// pack fills empty ranks: replicas for the hottest experts, as many as there
-// are slots, then the heaviest replica first onto the rank that is quickest
-// with it.
+// pack fills empty ranks. It gives additional replicas to the most popular experts
+// until all slots are used, and then places the replicas by descending share,
+// each on the rank that is fastest with it.
 func (st *layerState) pack() {
-	order := st.replicas()
+	order := st.replicasToPlace()
 	for _, rep := range order {
-		if r := st.quickestWith(rep.expert, rep.part); r != none {
+		if r := st.fastestRankFor(rep.expert, rep.replicaShare); r != none {
 			st.add(r, rep.expert)
-			st.time[r] += rep.part * st.inverse[r]
+			st.rankTime[r] += rep.replicaShare * st.timePerShare[r]
 		}
 	}
-	// A replica is left out when all ranks with room hold its expert, so the
-	// parts may have grown.
-	st.retime()
+	// A replica is left out if all ranks with free slots hold its expert already,
+	// so the shares of the expert's other replicas may have grown.
+	st.recomputeTimes()
 }
 
-// replica is one copy of an expert that has yet to be placed.
+// replica is one replica of an expert that is still to be placed.
 type replica struct {
-	expert int
-	part   float64
+	expert       int
+	replicaShare float64
 }
 
-// replicas returns the copies to place, the heaviest first.
-func (st *layerState) replicas() []replica {
+// replicasToPlace returns the replicas to place, by descending share.
+func (st *layerState) replicasToPlace() []replica {
 	counts := make([]int, st.shape.Experts)
-	heap := make([]replica, st.shape.Experts)
+	sorted := make([]replica, st.shape.Experts)
 	for e := range counts {
 		counts[e] = 1
-		heap[e] = replica{expert: e, part: st.share[e]}
+		sorted[e] = replica{expert: e, replicaShare: st.share[e]}
 	}
-	slices.SortFunc(heap, heavierFirst)
-	spare := -len(counts)
+	slices.SortFunc(sorted, largerFirst)
+	spareSlots := -len(counts)
 	for _, n := range st.slots {
-		spare += n
+		spareSlots += n
 	}
-	for spare > 0 && len(heap) > 0 {
-		top := heap[0]
-		if counts[top.expert] == st.usable {
-			heap = slices.Delete(heap, 0, 1)
+	for spareSlots > 0 && len(sorted) > 0 {
+		top := sorted[0]
+		if counts[top.expert] == st.usableRanks {
+			sorted = slices.Delete(sorted, 0, 1)
 			continue
 		}
 		counts[top.expert]++
-		spare--
-		top.part = st.share[top.expert] / float64(counts[top.expert])
-		reinsert(heap, top)
+		spareSlots--
+		top.replicaShare = st.share[top.expert] / float64(counts[top.expert])
+		reinsert(sorted, top)
 	}
 	var all []replica
 	for e, n := range counts {
 		for range n {
-			all = append(all, replica{expert: e, part: st.share[e] / float64(n)})
+			all = append(all, replica{expert: e, replicaShare: st.share[e] / float64(n)})
 		}
 	}
-	slices.SortStableFunc(all, heavierFirst)
+	slices.SortStableFunc(all, largerFirst)
 	return all
 }
 
-// reinsert moves the first entry, now lighter, to its place in the order.
+// reinsert restores the order after the share of the first entry became smaller.
 func reinsert(sorted []replica, first replica) {
 	i := 1
-	for i < len(sorted) && heavierFirst(sorted[i], first) < 0 {
+	for i < len(sorted) && largerFirst(sorted[i], first) < 0 {
 		sorted[i-1] = sorted[i]
 		i++
 	}
 	sorted[i-1] = first
 }
 
-func heavierFirst(a, b replica) int {
-	if c := cmp.Compare(b.part, a.part); c != 0 {
+func largerFirst(a, b replica) int {
+	if c := cmp.Compare(b.replicaShare, a.replicaShare); c != 0 {
 		return c
 	}
 	return cmp.Compare(a.expert, b.expert)
 }
 
-// quickestWith returns the rank with room that would take least time with one
-// more replica, or none.
-func (st *layerState) quickestWith(e int, part float64) int {
-	at, least := none, 0.0
+// fastestRankFor returns the rank with a free slot that takes the least time with
+// one more replica of e, or none.
+func (st *layerState) fastestRankFor(e int, share float64) int {
+	fastest, minTime := none, 0.0
 	for r := range st.held {
-		if !st.free(r) || st.holds(r, e) {
+		if !st.hasFreeSlot(r) || st.holds(r, e) {
 			continue
 		}
-		if t := st.time[r] + part*st.inverse[r]; at == none || t < least {
-			at, least = r, t
+		if t := st.rankTime[r] + share*st.timePerShare[r]; fastest == none || t < minTime {
+			fastest, minTime = r, t
 		}
 	}
-	return at
+	return fastest
 }
 
-// polish relieves the slowest rank while that lowers the largest time, and
-// ends at the best state seen.
-func (st *layerState) polish(evictable []int) {
-	best := st.largest()
+// refine applies changes to the slowest rank until the layer is nearly balanced or
+// there is no change left, and returns to the best state seen.
+func (st *layerState) refine(evictable []int) {
+	best := st.maxTime()
 	held := st.copyHeld(nil)
-	for range polishSteps {
-		if best <= 1+polishedSkew {
+	for range maxRefineSteps {
+		if best <= 1+refinedExcess {
 			break
 		}
-		c, ok := st.relieve(evictable)
+		c, ok := st.findChange(evictable)
 		if !ok {
 			break
 		}
 		st.apply(c)
-		if t := st.largest(); t < best {
+		if t := st.maxTime(); t < best {
 			best = t
 			held = st.copyHeld(held)
 		}
--- a/internal/decide/burdockexpert/state.go
+++ b/internal/decide/burdockexpert/state.go
@@ -15,7 +15,7 @@
 )
 
 // Record is one decision as the state dump shows it. Imbalances are means over
-// the layers, on the popularity that the decision was taken on.
+// the layers, for the popularity that the decision is based on.
 type Record struct {
 	At              burdockclock.Millis `json:"at"`
 	Verdict         Verdict             `json:"verdict"`
@@ -27,15 +27,15 @@
 	Saving          burdockclock.Millis `json:"savingMillis"`
 }
 
-// State is what a planner shows in its process's state dump.
+// State is a planner's part of the state dump.
 type State struct {
 	NoiseMargin     float64  `json:"noiseMargin"`
 	MaxLayerChanges int      `json:"layerChanges"`
 	MaxTotalChanges int      `json:"totalChanges"`
-	Decisions       []Record `json:"decisions"` // the oldest first
+	Decisions       []Record `json:"decisions"` // oldest first
 }
 
-// LastDecision returns the newest decision, and the zero value if there is none.
+// LastDecision returns the latest decision, or the zero value if there is none.
 func (p *Planner) LastDecision() Record {
 	if len(p.history) == 0 {
 		return Record{}
@@ -53,7 +53,7 @@
 	}
 }
 
-func (p *Planner) remember(rec Record) {
+func (p *Planner) record(rec Record) {
 	if len(p.history) >= p.cfg.MaxHistory {
 		p.history = slices.Delete(p.history, 0, len(p.history)-p.cfg.MaxHistory+1)
 	}
--- a/internal/decide/burdockexpert/window.go
+++ b/internal/decide/burdockexpert/window.go
@@ -7,7 +7,7 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// window holds the tokens of one layer's experts between two observations.
+// window holds the token counts of one layer, by expert, between two observations.
 type window struct {
 	counts []float64
 	total  float64
@@ -22,10 +22,9 @@
 	return w
 }
 
-// dispersionFrom compares a window with another by a chi-squared statistic for
-// each degree of freedom. It is about 1 when both are of independent tokens
-// with the same shares, and more when tokens come in bursts that go to the
-// same experts, or when the shares differ.
+// dispersionFrom compares two windows by the chi-squared statistic per degree of
+// freedom. It is about 1 if both have independent tokens and the same shares. It
+// is larger if tokens come in bursts to the same experts, or if the shares differ.
 func (w window) dispersionFrom(other window) float64 {
 	sum, cells := 0.0, 0
 	for e, n := range w.counts {
@@ -33,36 +32,35 @@
 		if pooled == 0 {
 			continue
 		}
-		diff := n/w.total - other.counts[e]/other.total
-		sum += diff * diff / (pooled * (1/w.total + 1/other.total))
+		difference := n/w.total - other.counts[e]/other.total
+		sum += difference * difference / (pooled * (1/w.total + 1/other.total))
 		cells++
 	}
 	return sum / float64(max(1, cells-1))
 }
 
-// leaders is how many of the most popular experts tell how much of a window is of
-// an earlier popularity.
-const leaders = 8
+// topExperts is the number of most popular experts that oldFraction uses.
+const topExperts = 8
 
-// partOf returns how much of the window may be of an earlier popularity: no more
-// than what its experts that were in demand most still have.
-func (w window) partOf(old window) float64 {
-	part := 1.0
-	for _, e := range old.top(leaders) {
-		part = min(part, w.counts[e]/w.total*old.total/old.counts[e])
+// oldFraction returns the largest fraction of w that may belong to an old
+// popularity. It is limited by the old popularity's top experts: each of them
+// has to get at least its old share of that fraction.
+func (w window) oldFraction(old window) float64 {
+	fraction := 1.0
+	for _, e := range old.top(topExperts) {
+		fraction = min(fraction, w.counts[e]/w.total*old.total/old.counts[e])
 	}
-	return part
+	return fraction
 }
 
-// without returns the window less a part of it that has the shares of an earlier
-// popularity.
-func (w window) without(old window, part float64) window {
-	if old.total == 0 || part <= 0 {
+// subtract returns w without a fraction that has the shares of an old popularity.
+func (w window) subtract(old window, fraction float64) window {
+	if old.total == 0 || fraction <= 0 {
 		return w
 	}
 	rest := window{counts: make([]float64, len(w.counts))}
 	for e, n := range w.counts {
-		rest.counts[e] = max(n-part*w.total*old.counts[e]/old.total, 0)
+		rest.counts[e] = max(n-fraction*w.total*old.counts[e]/old.total, 0)
 		rest.total += rest.counts[e]
 	}
 	if rest.total == 0 {
@@ -71,7 +69,7 @@
 	return rest
 }
 
-// top returns the n experts with the largest counts, without those that have none.
+// top returns the n experts with the largest counts above 0, or fewer.
 func (w window) top(n int) []int {
 	order := make([]int, 0, len(w.counts))
 	for e, count := range w.counts {
--- a/internal/decide/burdockexpert/work.go
+++ b/internal/decide/burdockexpert/work.go
@@ -8,229 +8,239 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// work is one decision in the making.
-type work struct {
-	cfg      Config
-	in       *Input
-	held     *Map // the present map without what replaced ranks have lost
-	base     *Map // held, made usable
-	next     *Map
-	forced   bool
-	before   []float64 // imbalance of each layer of base
-	after    []float64 // imbalance of each layer of next
-	holds    []float64 // by layer, in milliseconds
-	improved []bool    // by layer
-	taken    []int     // by rank: loads of the layers improved so far
-	saved    float64   // milliseconds, less the noise's part
-	refused  Reason    // why the layer that came closest was left alone
-	state    *layerState
-	noise    float64 // of the layer at hand, see noiseSkew
+// planRun computes one decision. It improves base, layer by layer, to next. If
+// the current map is unusable, the result is forced: next replaces it at any cost.
+type planRun struct {
+	cfg          Config
+	in           *Input
+	loaded       *Map // what the ranks hold: the current map without replaced ranks
+	base         *Map // loaded, made usable by repair
+	next         *Map
+	forced       bool
+	before       []float64 // by layer: imbalance in base
+	after        []float64 // by layer: imbalance in next
+	horizons     []float64 // by layer, in milliseconds; see Planner.horizons
+	improved     []bool    // by layer
+	plannedLoads []int     // by rank: loads for the layers improved so far
+	saving       float64   // milliseconds, less the part that may be noise
+	stayReason   Reason    // why the layer closest to a change was not changed
+	layerState   *layerState
+	noise        float64 // noiseSkew of the current layer
 }
 
-func newWork(cfg Config, in *Input, holds []float64) *work {
-	w := &work{
-		cfg:      cfg,
-		in:       in,
-		held:     in.Current.clone(),
-		holds:    holds,
-		improved: make([]bool, len(holds)),
-		taken:    make([]int, len(in.Ranks)),
-		state:    newLayerState(in.shape(), in.Ranks),
-		refused:  ReasonNothingToGain,
+func newPlanRun(cfg Config, in *Input, horizons []float64) *planRun {
+	run := &planRun{
+		cfg:          cfg,
+		in:           in,
+		loaded:       in.Current.clone(),
+		horizons:     horizons,
+		improved:     make([]bool, len(horizons)),
+		plannedLoads: make([]int, len(in.Ranks)),
+		layerState:   newLayerState(in.shape(), in.Ranks),
+		stayReason:   ReasonNothingToGain,
 	}
 	for r, rank := range in.Ranks {
 		if rank.Empty {
-			w.forget(r)
+			run.clearRank(r)
 		}
 	}
-	w.base = w.held.clone()
-	return w
+	run.base = run.loaded.clone()
+	return run
 }
 
-// forget takes from a rank all that the present map says it holds. A map that
-// names experts which the rank has lost can't stay in force.
-func (w *work) forget(r int) {
-	for l := range w.held.shape.Layers {
-		if len(w.held.layer(l)[r]) > 0 {
-			w.forced = true
-			w.held.layer(l)[r] = nil
+// clearRank removes a replaced rank's experts from loaded. The current map can't
+// stay in use if it has any, because the rank has lost them.
+func (run *planRun) clearRank(r int) {
+	for l := range run.loaded.shape.Layers {
+		if len(run.loaded.layer(l)[r]) > 0 {
+			run.forced = true
+			run.loaded.layer(l)[r] = nil
 		}
 	}
 }
 
-// repair makes the present map usable; that is not weighed against its cost.
-func (w *work) repair() {
-	for l := range w.base.shape.Layers {
-		w.state.reset(w.in.Popularity.Share[l], w.base.layer(l))
-		if w.state.usableNow() {
-			w.before = append(w.before, w.state.largest())
+// repair makes the map usable, at whatever cost.
+func (run *planRun) repair() {
+	for l := range run.base.shape.Layers {
+		run.layerState.reset(run.in.Popularity.Share[l], run.base.layer(l))
+		if run.layerState.isUsable() {
+			run.before = append(run.before, run.layerState.maxTime())
 			continue
 		}
-		w.forced = true
-		w.state.repair()
-		w.state.copyHeld(w.base.layer(l))
-		w.before = append(w.before, w.state.largest())
+		run.forced = true
+		run.layerState.repair()
+		run.layerState.copyHeld(run.base.layer(l))
+		run.before = append(run.before, run.layerState.maxTime())
 	}
-	w.next = w.base.clone()
-	w.after = slices.Clone(w.before)
+	run.next = run.base.clone()
+	run.after = slices.Clone(run.before)
 }
 
-// improve changes the layers that lose most, as far as the budget reaches.
-func (w *work) improve() {
-	order := make([]int, len(w.before))
+// improve changes layers by descending imbalance, until the budget of changes is
+// used up.
+func (run *planRun) improve() {
+	order := make([]int, len(run.before))
 	for l := range order {
 		order[l] = l
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(w.before[b], w.before[a]) })
-	budget := w.cfg.MaxTotalChanges
-	evictable := make([]int, w.base.shape.Ranks)
+	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(run.before[b], run.before[a]) })
+	budget := run.cfg.MaxTotalChanges
+	evictable := make([]int, run.base.shape.Ranks)
 	for _, l := range order {
 		if budget <= 0 {
 			break
 		}
-		w.bound()
-		budget -= w.improveLayer(l, min(budget, w.cfg.MaxLayerChanges), evictable)
+		run.setLoadLimits()
+		budget -= run.improveLayer(l, min(budget, run.cfg.MaxLayerChanges), evictable)
 	}
 }
 
-// bound sets how many loads each rank can take in the next layer.
-func (w *work) bound() {
-	for r, rank := range w.in.Ranks {
-		most := w.base.shape.Experts
+// setLoadLimits sets the number of loads allowed for each rank in the next layer.
+func (run *planRun) setLoadLimits() {
+	for r, rank := range run.in.Ranks {
+		limit := run.base.shape.Experts
 		if rank.MaxLayerLoads > 0 {
-			most = rank.MaxLayerLoads
+			limit = rank.MaxLayerLoads
 		}
 		if rank.MaxTotalLoads > 0 {
-			most = min(most, rank.MaxTotalLoads-w.taken[r])
+			limit = min(limit, rank.MaxTotalLoads-run.plannedLoads[r])
 		}
-		w.state.most[r] = most
+		run.layerState.maxLoads[r] = limit
 	}
 }
 
-// take counts the loads that a layer's new map brings each rank.
-func (w *work) take(l int) {
-	for r, held := range w.next.layer(l) {
+// countLoads adds the loads for a layer's new placement to plannedLoads.
+func (run *planRun) countLoads(l int) {
+	for r, held := range run.next.layer(l) {
 		for _, e := range held {
-			if !w.held.Holds(burdockid.Layer(l), burdockid.Rank(r), burdockid.Expert(e)) {
-				w.taken[r]++
+			if !run.loaded.Holds(burdockid.Layer(l), burdockid.Rank(r), burdockid.Expert(e)) {
+				run.plannedLoads[r]++
 			}
 		}
 	}
 }
 
-// improveLayer tries up to limit changes and keeps the state on the way that
-// is worth most. It returns the number of changes tried.
-func (w *work) improveLayer(l, limit int, evictable []int) int {
-	st := w.state
-	w.noise = noiseSkew(w.in.Popularity.Deviation[l], st, w.base.layer(l))
-	noise := w.cfg.NoiseMargin * w.noise
-	// Even a perfect layer would not save enough: this ends most layers'
-	// search before it begins when the group runs well.
-	ideal := w.worth(l, w.before[l]-1-noise) - w.price(1)
-	if ideal <= 0 {
-		w.refuse(w.worth(l, w.before[l]-1) > w.price(1))
+// improveLayer searches a layer once for each of zeroLoadCosts, with up to limit
+// changes, and takes the best state seen into next if it saves more than it
+// costs. It returns the number of changes tried.
+func (run *planRun) improveLayer(l, limit int, evictable []int) int {
+	st := run.layerState
+	run.noise = noiseSkew(run.in.Popularity.Deviation[l], st, run.base.layer(l))
+	noise := run.cfg.NoiseMargin * run.noise
+	// If even perfect balance with a single load does not save enough, there is
+	// nothing to search. This holds for most layers while the group is balanced.
+	maxSaving := run.weightedSaving(l, run.before[l]-1-noise) - run.weightedCost(1)
+	if maxSaving <= 0 {
+		run.noteStayReason(run.weightedSaving(l, run.before[l]-1) > run.weightedCost(1))
 		return 0
 	}
 	best, tried := 0.0, 0
-	for _, free := range freeChanges {
-		st.freeChange = free
-		tried += w.search(l, limit, noise, &best, evictable)
+	for _, cost := range zeroLoadCosts {
+		st.zeroLoadCost = cost
+		tried += run.searchLayer(l, limit, noise, &best, evictable)
 	}
 	if best > 0 {
-		w.saved += (w.before[l] - w.after[l] - noise) * w.unit(l)
-		w.improved[l] = true
-		w.take(l)
+		run.saving += (run.before[l] - run.after[l] - noise) * run.millisPerImbalance(l)
+		run.improved[l] = true
+		run.countLoads(l)
 	}
 	return tried
 }
 
-// search makes changes in a layer, each on top of the one before, and writes
-// the state that is worth most to next. It returns that worth, less the
-// noise's part, and the number of changes.
-func (w *work) search(l, limit int, noise float64, best *float64, evictable []int) int {
-	st := w.state
-	st.reset(w.in.Popularity.Share[l], w.base.layer(l))
-	st.startFrom(w.held.layer(l))
-	needed := st.loads
-	unguarded, found, tried := 0.0, false, 0
+// searchLayer applies changes to a layer one after another. A state whose net
+// saving, less the part that may be noise, is larger than best goes into next,
+// and its saving into best. It returns the number of changes tried.
+func (run *planRun) searchLayer(l, limit int, noise float64, best *float64, evictable []int) int {
+	st := run.layerState
+	st.reset(run.in.Popularity.Share[l], run.base.layer(l))
+	st.setLoaded(run.loaded.layer(l))
+	repairLoads := st.totalLoads
+	savingWithNoise, found, tried := 0.0, false, 0
 	for ; tried < limit; tried++ {
-		c, ok := st.relieve(evictable)
+		c, ok := st.findChange(evictable)
 		if !ok {
 			break
 		}
 		st.apply(c)
-		value := w.value(l, st.loads-needed)
-		unguarded = max(unguarded, value)
-		found = found || st.largest() < w.before[l]
-		if value -= w.worth(l, noise); value > *best {
-			*best = value
-			w.after[l] = st.largest()
-			st.copyHeld(w.next.layer(l))
+		netSaving := run.netSaving(l, st.totalLoads-repairLoads)
+		savingWithNoise = max(savingWithNoise, netSaving)
+		found = found || st.maxTime() < run.before[l]
+		if netSaving -= run.weightedSaving(l, noise); netSaving > *best {
+			*best = netSaving
+			run.after[l] = st.maxTime()
+			st.copyHeld(run.next.layer(l))
 		}
 	}
 	if *best == 0 && found {
-		w.refuse(unguarded > 0)
+		run.noteStayReason(savingWithNoise > 0)
 	}
 	return tried + 1
 }
 
-// value weighs the state of a layer against what it was, at so many fetches.
-// Evenness beyond what noise leaves is worth nothing: it is evenness on the
-// estimate alone, and the search would spend fetches on it.
-func (w *work) value(l, fetches int) float64 {
-	after := max(w.state.largest(), 1+w.noise)
-	return w.worth(l, w.before[l]-after) - w.price(fetches)
+// netSaving returns the weighted saving of a layer's state over base, less the
+// weighted cost of the given loads. Balance better than the noise allows counts
+// as no saving: it exists only in the estimate, and the search would spend loads
+// on it.
+func (run *planRun) netSaving(l, loads int) float64 {
+	after := max(run.layerState.maxTime(), 1+run.noise)
+	return run.weightedSaving(l, run.before[l]-after) - run.weightedCost(loads)
 }
 
-// refuse notes why a layer stays: because of noise, or because of the cost.
-func (w *work) refuse(noise bool) {
+// noteStayReason records why a layer is not changed. Noise takes precedence over
+// cost.
+func (run *planRun) noteStayReason(noise bool) {
 	if noise {
-		w.refused = ReasonSavingWithinNoise
-	} else if w.refused == ReasonNothingToGain {
-		w.refused = ReasonCostOutweighsSaving
+		run.stayReason = ReasonSavingWithinNoise
+	} else if run.stayReason == ReasonNothingToGain {
+		run.stayReason = ReasonCostOutweighsSaving
 	}
 }
 
-// unit is the time that one unit of one layer's imbalance loses while the
-// popularity holds, in milliseconds: the layers share the step's time.
-func (w *work) unit(l int) float64 { return w.holds[l] / float64(w.base.shape.Layers) }
+// millisPerImbalance returns the time that one unit of a layer's imbalance costs
+// within its horizon, in milliseconds. Each layer takes an equal part of a step.
+func (run *planRun) millisPerImbalance(l int) float64 {
+	return run.horizons[l] / float64(run.base.shape.Layers)
+}
+
+// weightedSaving returns the weighted time that a reduction of a layer's imbalance
+// saves.
+func (run *planRun) weightedSaving(l int, saving float64) float64 {
+	return run.in.Weights.Skew * saving * run.millisPerImbalance(l)
+}
 
-// worth weighs an imbalance saved in one layer.
-func (w *work) worth(l int, saving float64) float64 {
-	return w.in.Weights.Skew * saving * w.unit(l)
+// weightedCost returns the weighted time of n loads.
+func (run *planRun) weightedCost(n int) float64 {
+	return run.in.Weights.Cost * float64(n) * run.in.millisPerLoad()
 }
 
-// price weighs a number of fetches.
-func (w *work) price(n int) float64 { return w.in.Weights.Cost * float64(n) * w.in.perMove() }
-
-// decision compares the map made with the present one.
-func (w *work) decision() (Decision, Record) {
-	rec := Record{ImbalanceBefore: mean(w.before), ImbalanceAfter: mean(w.after)}
-	if !w.forced && w.next.Equal(w.in.Current) {
-		rec.Verdict, rec.Reason = verdictStay, w.refused
-		return Stay{Reason: w.refused}, rec
-	}
-	// A map that leaves an expert out would lose tokens on every rank, and
-	// ending the process would cut off its upstream's requests. Should the
-	// search ever have a fault, the present map is the lesser harm; the
-	// findings reach the log and the randomised tests.
-	if list := w.next.Check(w.in.Ranks); list.Err() != nil {
+// decision compares the computed map with the current one.
+func (run *planRun) decision() (Decision, Record) {
+	rec := Record{ImbalanceBefore: mean(run.before), ImbalanceAfter: mean(run.after)}
+	if !run.forced && run.next.Equal(run.in.Current) {
+		rec.Verdict, rec.Reason = verdictStay, run.stayReason
+		return Stay{Reason: run.stayReason}, rec
+	}
+	// A bug in the search may give an invalid map. A map without one of the
+	// experts loses tokens on every rank, and a panic ends the requests of this
+	// process's upstream. Keeping the current map is the lesser harm; the
+	// findings go to the log and fail the randomised tests.
+	if list := run.next.Check(run.in.Ranks); list.Err() != nil {
 		rec.Verdict, rec.Reason = verdictStay, ReasonPlannerFault
 		return Stay{Reason: ReasonPlannerFault, Findings: list}, rec
 	}
 	reason := ReasonSavingOutweighsCost
-	if w.forced {
+	if run.forced {
 		reason = ReasonMapUnusable
 	}
-	moves := RequiredLoads(w.held, w.next)
+	loads := RequiredLoads(run.loaded, run.next)
 	move := Move{
 		Reason: reason,
-		Map:    w.next,
-		Loads:  moves,
-		Cost:   w.in.moveCost(len(moves)),
-		Saving: burdockclock.Millis(w.saved),
+		Map:    run.next,
+		Loads:  loads,
+		Cost:   run.in.loadTime(len(loads)),
+		Saving: burdockclock.Millis(run.saving),
 	}
 	rec.Verdict, rec.Reason = verdictMove, reason
-	rec.Loads, rec.Cost, rec.Saving = len(moves), move.Cost, move.Saving
+	rec.Loads, rec.Cost, rec.Saving = len(loads), move.Cost, move.Saving
 	return move, rec
 }
