--- a/internal/decide/burdockexpert/bench_test.go
+++ b/internal/decide/burdockexpert/bench_test.go
@@ -9,34 +9,35 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// drift makes popularities for tests and feeds them to an estimate.
-type drift struct {
+// tokenSource draws token counts for tests from a known popularity.
+type tokenSource struct {
 	rng     *rand.Rand
-	weights [][]float64 // by layer and expert, any scale
+	weights [][]float64 // by layer and expert, on any scale
 }
 
 const (
-	testSpread  = 0.8 // of the logarithm of an expert's weight
-	testTokens  = 2_000_000
-	testHalf    = burdockclock.Minute
-	testBytes   = burdockid.Bytes(44_000_000)
-	testRate    = burdockid.BytesPerSecond(1_000_000_000)
-	testHolding = 30 * burdockclock.Minute
+	testWeightDeviation = 0.8 // standard deviation of the logarithm of an expert's weight
+	testTokens          = 2_000_000
+	testHalfLife        = burdockclock.Minute
+	testExpertBytes     = burdockid.Bytes(44_000_000)
+	testStoreRate       = burdockid.BytesPerSecond(1_000_000_000)
+	testHorizon         = 30 * burdockclock.Minute
 )
 
-func newDrift(seed uint64, layers, experts int) *drift {
-	d := &drift{rng: rand.New(rand.NewPCG(seed, 1)), weights: make([][]float64, layers)}
+func newTokenSource(seed uint64, layers, experts int) *tokenSource {
+	d := &tokenSource{rng: rand.New(rand.NewPCG(seed, 1)), weights: make([][]float64, layers)}
 	for l := range d.weights {
 		d.weights[l] = make([]float64, experts)
 		for e := range d.weights[l] {
-			d.weights[l][e] = math.Exp(testSpread * d.rng.NormFloat64())
+			d.weights[l][e] = math.Exp(testWeightDeviation * d.rng.NormFloat64())
 		}
 	}
 	return d
 }
 
-// observe feeds one window; burst is the variance of counts over Poisson's.
-func (d *drift) observe(p *Popularity, now burdockclock.Millis, burst float64) {
+// observe adds one window to p. The variance of the counts is burst times that of
+// a Poisson distribution.
+func (d *tokenSource) observe(p *Popularity, now burdockclock.Millis, burst float64) {
 	for l, weights := range d.weights {
 		total := 0.0
 		for _, w := range weights {
@@ -51,7 +52,7 @@
 	}
 }
 
-func evenRanks(n, slots int) []Rank {
+func equalRanks(n, slots int) []Rank {
 	ranks := make([]Rank, n)
 	for r := range ranks {
 		ranks[r] = Rank{Slots: slots, Speed: 1}
@@ -59,25 +60,26 @@
 	return ranks
 }
 
-func testInput(s Snapshot, present *Map, ranks []Rank) Input {
+func testInput(s Snapshot, current *Map, ranks []Rank) Input {
 	return Input{
 		Popularity:  s,
-		Current:     present,
+		Current:     current,
 		Ranks:       ranks,
 		Weights:     Weights{Skew: 4, Cost: 1},
-		ExpertBytes: testBytes,
-		StoreRate:   testRate,
-		Horizon:     testHolding,
+		ExpertBytes: testExpertBytes,
+		StoreRate:   testStoreRate,
+		Horizon:     testHorizon,
 	}
 }
 
-// BenchmarkPlan is a decision at the project's largest group: the popularity
-// has changed wholly, so that every layer has to be searched.
+// BenchmarkPlan measures a decision for the largest supported group. Unless the
+// case is settled, the popularity has changed completely, so that every layer has
+// to be searched.
 func BenchmarkPlan(b *testing.B) {
 	for _, c := range []struct {
 		name   string
-		before uint64 // seed of the popularity that the present map is for
-		lost   bool   // whether a rank is gone too
+		before uint64 // seed of the popularity that the current map was computed for
+		lost   bool   // whether a rank is lost too
 	}{{"swapped", 2, false}, {"swappedAndLost", 2, true}, {"settled", 1, false}} {
 		b.Run(c.name, func(b *testing.B) {
 			in := benchInput(c.before)
@@ -86,8 +88,8 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				// A planner that has changed a layer a moment ago would not
-				// search it again.
+				// A new planner each time: one that has just changed a layer
+				// does not search it again.
 				New(Config{}).Plan(0, in)
 			}
 		})
@@ -96,16 +98,16 @@
 
 func benchInput(before uint64) Input {
 	const layers, experts = 60, 128
-	ranks := evenRanks(32, 6)
+	ranks := equalRanks(32, 6)
 	snap := func(seed uint64) Snapshot {
-		p := NewPopularity(layers, experts, testHalf)
-		newDrift(seed, layers, experts).observe(p, 0, 1)
+		p := NewPopularity(layers, experts, testHalfLife)
+		newTokenSource(seed, layers, experts).observe(p, 0, 1)
 		return p.Snapshot()
 	}
 	return testInput(snap(1), Solve(snap(before), ranks), ranks)
 }
 
-// BenchmarkPlanFirst is the decision on a group that has no map yet.
+// BenchmarkPlanFirst measures the decision for a group that has no map yet.
 func BenchmarkPlanFirst(b *testing.B) {
 	in := benchInput(1)
 	in.Current = nil
@@ -124,8 +126,8 @@
 }
 
 func BenchmarkObserveSnapshot(b *testing.B) {
-	p := NewPopularity(60, 128, testHalf)
-	d := newDrift(1, 60, 128)
+	p := NewPopularity(60, 128, testHalfLife)
+	d := newTokenSource(1, 60, 128)
 	counts := make([]burdockid.Tokens, 128)
 	for e := range counts {
 		counts[e] = burdockid.Tokens(1000 * d.weights[0][e])
--- a/internal/decide/burdockexpert/codec_test.go
+++ b/internal/decide/burdockexpert/codec_test.go
@@ -16,7 +16,7 @@
 	return m
 }
 
-func TestDecodeRefusesOtherSpellings(t *testing.T) {
+func TestDecodeRejectsNonCanonicalEncodings(t *testing.T) {
 	whole, err := smallMap().Encode()
 	if err != nil {
 		t.Fatal(err)
@@ -70,7 +70,7 @@
 	})
 }
 
-func TestCheckReportsAllWithPlace(t *testing.T) {
+func TestCheckReportsAllFindings(t *testing.T) {
 	m := NewMap(Shape{Layers: 1, Ranks: 2, Experts: 3})
 	m.Add(0, 0, 0)
 	m.Add(0, 0, 1)
--- a/internal/decide/burdockexpert/difference_test.go
+++ b/internal/decide/burdockexpert/difference_test.go
@@ -9,12 +9,12 @@
 	"github.com/joomcode/errorx"
 )
 
-// randomMap gives each rank places experts of each layer.
-func randomMap(random *rand.Rand, s Shape, places int) *Map {
+// randomMap places up to perRank random experts of each layer on each rank.
+func randomMap(random *rand.Rand, s Shape, perRank int) *Map {
 	m := NewMap(s)
 	for l := range burdockid.Layer(s.Layers) {
 		for r := range burdockid.Rank(s.Ranks) {
-			for range places {
+			for range perRank {
 				m.Add(l, r, burdockid.Expert(random.IntN(s.Experts)))
 			}
 		}
@@ -22,7 +22,8 @@
 	return m
 }
 
-// moveSome has one in so many places of a map hold another expert.
+// moveSome returns a map in which about one in oneIn lists of a rank and layer has
+// one expert replaced.
 func moveSome(random *rand.Rand, m *Map, oneIn int) *Map {
 	out := m.clone()
 	for i, held := range out.placement {
@@ -35,7 +36,7 @@
 	return out
 }
 
-func TestDifferenceGivesTheOtherMap(t *testing.T) {
+func TestApplyDifference(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
 		s := Shape{Layers: 1 + random.IntN(6), Ranks: 1 + random.IntN(40), Experts: 1 + random.IntN(300)}
@@ -50,14 +51,14 @@
 			t.Fatalf("%+v: apply: %v", s, err)
 		}
 		if !got.Equal(want) {
-			t.Fatalf("%+v: got another map than the one that the difference is to", s)
+			t.Fatalf("%+v: Apply returned a different map than the difference was computed for", s)
 		}
 	}
 }
 
-// An agent that was given a difference from a map which it takes for another one
-// must not load what comes out: its rank would run another map than its peers.
-func TestDifferenceFromAnotherMapIsRefused(t *testing.T) {
+// An agent that applies a difference to the wrong base map must not load the
+// result: its rank would use a different map than its peers.
+func TestApplyRejectsWrongDifference(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	s := Shape{Layers: 3, Ranks: 20, Experts: 60}
 	base := randomMap(random, s, 3)
@@ -77,8 +78,8 @@
 		{"cut", base, difference[:len(difference)-1], want.Digest()},
 		{"nothing", base, nil, want.Digest()},
 		{"another format", base, append([]byte{formatVersion + 1}, difference[1:]...), want.Digest()},
-		{"a place beyond the end", base, []byte{formatVersion, 61, 1, 0}, want.Digest()},
-		{"a place without experts", base, []byte{formatVersion, 0, 0}, base.Digest()},
+		{"a list beyond the end", base, []byte{formatVersion, 61, 1, 0}, want.Digest()},
+		{"a list without experts", base, []byte{formatVersion, 0, 0}, base.Digest()},
 	}
 	for _, test := range tests {
 		if _, err := test.base.Apply(test.difference, test.digest); !errorx.IsOfType(err, MalformedMap) {
@@ -101,13 +102,13 @@
 	f.Add(difference, want.Digest())
 	f.Fuzz(func(t *testing.T, difference []byte, digest uint64) {
 		if m, err := base.Apply(difference, digest); err == nil && m.Digest() != digest {
-			t.Errorf("got a map of another digest than asked for")
+			t.Errorf("Apply returned a map with a different digest than requested")
 		}
 	})
 }
 
-// BenchmarkDifference shows the bytes of a whole map and of the difference when
-// one place in ten holds another expert.
+// BenchmarkDifference reports the sizes of a whole map and of a difference in which
+// one list in ten has a different expert.
 func BenchmarkDifference(b *testing.B) {
 	for _, s := range []Shape{{4, 16, 64}, {12, 72, 144}, {10, 192, 384}, {10, 512, 1024}} {
 		b.Run(fmt.Sprint(s.Ranks), func(b *testing.B) {
--- a/internal/decide/burdockexpert/example_test.go
+++ b/internal/decide/burdockexpert/example_test.go
@@ -13,14 +13,14 @@
 	for window := range burdockclock.Millis(5) {
 		popularity.Observe(window*burdockclock.Second, 0, []burdockid.Tokens{700_000, 100_000, 100_000, 100_000})
 	}
-	present := burdockexpert.NewMap(burdockexpert.Shape{Layers: 1, Ranks: 2, Experts: 4})
+	current := burdockexpert.NewMap(burdockexpert.Shape{Layers: 1, Ranks: 2, Experts: 4})
 	for e := range burdockid.Expert(4) {
-		present.Add(0, burdockid.Rank(e)/2, e)
+		current.Add(0, burdockid.Rank(e)/2, e)
 	}
 	planner := burdockexpert.New(burdockexpert.Config{})
 	decision := planner.Plan(burdockclock.Minute, burdockexpert.Input{
 		Popularity:  popularity.Snapshot(),
-		Current:     present,
+		Current:     current,
 		Ranks:       []burdockexpert.Rank{{Slots: 3, Speed: 1}, {Slots: 3, Speed: 1}},
 		Weights:     burdockexpert.Weights{Skew: 4, Cost: 1},
 		ExpertBytes: 44_000_000,
--- a/internal/decide/burdockexpert/property_test.go
+++ b/internal/decide/burdockexpert/property_test.go
@@ -10,36 +10,35 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// anyInput draws an input that passes Check, with a present map that need not
-// be usable.
-func anyInput(t *rapid.T) Input {
+// drawInput draws an input that passes Check. Its current map may be unusable.
+func drawInput(t *rapid.T) Input {
 	s := Shape{
 		Layers:  rapid.IntRange(1, 3).Draw(t, "layers"),
 		Ranks:   rapid.IntRange(1, 8).Draw(t, "ranks"),
 		Experts: rapid.IntRange(1, 24).Draw(t, "experts"),
 	}
 	ranks := make([]Rank, s.Ranks)
-	room := 0
+	totalSlots := 0
 	for r := range ranks {
 		ranks[r] = Rank{
 			Slots: rapid.IntRange(0, 8).Draw(t, "slots"),
 			Speed: rapid.Float64Range(0.05, 2).Draw(t, "speed"),
 			Empty: rapid.IntRange(0, 9).Draw(t, "empty") == 0,
 		}
-		room += min(ranks[r].Slots, s.Experts)
+		totalSlots += min(ranks[r].Slots, s.Experts)
 	}
-	ranks[0].Slots += max(0, s.Experts-room)
-	in := testInput(anyPopularity(t, s), anyMap(t, s), ranks)
+	ranks[0].Slots += max(0, s.Experts-totalSlots)
+	in := testInput(drawPopularity(t, s), drawMap(t, s), ranks)
 	in.Weights = Weights{Skew: rapid.Float64Range(0.01, 100).Draw(t, "skew"), Cost: rapid.Float64Range(0.01, 100).Draw(t, "cost")}
 	in.Horizon = burdockclock.Millis(rapid.IntRange(0, 10_000_000).Draw(t, "hold"))
 	if rapid.Bool().Draw(t, "usable") {
-		in.Current = Solve(anyPopularity(t, s), ranks)
+		in.Current = Solve(drawPopularity(t, s), ranks)
 	}
 	return in
 }
 
-func anyPopularity(t *rapid.T, s Shape) Snapshot {
-	p := NewPopularity(s.Layers, s.Experts, testHalf)
+func drawPopularity(t *rapid.T, s Shape) Snapshot {
+	p := NewPopularity(s.Layers, s.Experts, testHalfLife)
 	for l := range burdockid.Layer(s.Layers) {
 		counts := make([]burdockid.Tokens, s.Experts)
 		for e := range counts {
@@ -50,7 +49,7 @@
 	return p.Snapshot()
 }
 
-func anyMap(t *rapid.T, s Shape) *Map {
+func drawMap(t *rapid.T, s Shape) *Map {
 	m := NewMap(s)
 	for range rapid.IntRange(0, 40).Draw(t, "held") {
 		l := rapid.IntRange(0, s.Layers-1).Draw(t, "layer")
@@ -61,22 +60,23 @@
 	return m
 }
 
-// objective is what a planner lowers, for a map reached by so many moves.
-func objective(in Input, m *Map, moves int) float64 {
+// objective returns the weighted time that a planner minimises, for a map that
+// takes the given number of loads.
+func objective(in Input, m *Map, loads int) float64 {
 	lost := (mean(Imbalance(m, in.Popularity, in.Ranks)) - 1) * float64(in.Horizon)
-	return in.Weights.Skew*lost + in.Weights.Cost*float64(moves)*in.millisPerLoad()
+	return in.Weights.Skew*lost + in.Weights.Cost*float64(loads)*in.millisPerLoad()
 }
 
 func TestPlanProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		in := anyInput(t)
+		in := drawInput(t)
 		switch d := New(Config{}).Plan(0, in).(type) {
 		case Stay:
 			if d.Reason == ReasonInputInvalid || d.Reason == ReasonPlannerFault {
 				t.Fatalf("Stay for %s: %v", d.Reason, d.Findings.Err())
 			}
 			if list := in.Current.Check(in.Ranks); list.Err() != nil {
-				t.Fatalf("stays on an unusable map:\n%v", list.Err())
+				t.Fatalf("Plan keeps an unusable map:\n%v", list.Err())
 			}
 		case Move:
 			checkMove(t, in, d)
@@ -90,10 +90,10 @@
 	}
 	for _, load := range d.Loads {
 		if !d.Map.Holds(load.Layer, load.Rank, load.Expert) {
-			t.Fatalf("fetches %+v, which the map does not name", load)
+			t.Fatalf("loads %+v, which the map does not place there", load)
 		}
 		if in.Current.Holds(load.Layer, load.Rank, load.Expert) && !in.Ranks[load.Rank].Empty {
-			t.Fatalf("fetches %+v, which the rank holds", load)
+			t.Fatalf("loads %+v, which the rank holds already", load)
 		}
 	}
 	if d.Saving < 0 {
@@ -102,16 +102,16 @@
 	if d.Reason != ReasonSavingOutweighsCost {
 		return
 	}
-	const slack = 1e-6 // for rounding
+	const tolerance = 1e-6 // for rounding
 	before, after := objective(in, in.Current, 0), objective(in, d.Map, len(d.Loads))
-	if after > before*(1+slack) {
-		t.Fatalf("objective goes from %g to %g", before, after)
+	if after > before*(1+tolerance) {
+		t.Fatalf("objective rises from %g to %g", before, after)
 	}
 }
 
-func TestPlanRepeatsItself(t *testing.T) {
+func TestPlanIsDeterministic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		in := anyInput(t)
+		in := drawInput(t)
 		got, want := New(Config{}).Plan(0, in), New(Config{}).Plan(0, in)
 		if !reflect.DeepEqual(got, want) {
 			t.Fatalf("Plan = %+v, then %+v", want, got)
@@ -119,23 +119,23 @@
 	})
 }
 
-func TestPlanStaysWithNothingToGain(t *testing.T) {
+func TestPlanStaysForZeroHorizon(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		in := anyInput(t)
+		in := drawInput(t)
 		for r := range in.Ranks {
 			in.Ranks[r].Empty = false
 		}
 		in.Current = Solve(in.Popularity, in.Ranks)
 		in.Horizon = 0
 		if got, ok := New(Config{}).Plan(0, in).(Stay); !ok {
-			t.Fatalf("Plan = %+v, want a Stay when nothing lasts", got)
+			t.Fatalf("Plan = %+v, want a Stay for a horizon of 0", got)
 		}
 	})
 }
 
 func TestEncodeDecode(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		want := anyInput(t).Current
+		want := drawInput(t).Current
 		b, err := want.Encode()
 		if err != nil {
 			t.Fatal(err)
