--- a/internal/decide/burdockeject/eject.go
+++ b/internal/decide/burdockeject/eject.go
@@ -1,9 +1,9 @@
-// Package burdockeject judges upstreams against their peers on the same work
-// and takes work away, by degrees, from those that are slow or failing.
+// Package burdockeject detects upstreams that fail, or that are slower than their peers
+// on comparable requests, and reduces their weight step by step.
 //
-// An entry keeps one Tracker for each service and hands the weights to its
-// placer. The package is pure: time and randomness are passed in. A Tracker
-// is not safe for concurrent use.
+// An entry keeps one Tracker for each service and passes the weights to its placer. The
+// package is pure: time and randomness are passed in. A Tracker is not safe for
+// concurrent use.
 package burdockeject
 
 import (
@@ -13,35 +13,34 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// Observation is what one offer tells of an upstream: ResponseStarted, Completed, Failed
-// or ConnectFailed; or ProbeSucceeded, what a probe without an offer does.
-// A refusal is neither; it is load, not health.
+// Observation is what one offer shows about an upstream (ResponseStarted, Completed,
+// Failed or ConnectFailed), or a successful probe without a request (ProbeSucceeded). A
+// refusal is not an observation: it shows load, not health.
 type Observation interface{ observation() }
 
-// ResponseStarted is an offer that was taken and whose answer has begun. It shows that
-// the upstream can be reached, long before the answer ends and shows its pace.
+// ResponseStarted is an accepted offer whose response has started. It shows that the
+// upstream is reachable, long before the end of the response shows its speed.
 type ResponseStarted struct{}
 
-// ProbeSucceeded is a probe without a request: the upstream was asked how it is, and
-// answered.
+// ProbeSucceeded is a health check without a request that the upstream answered.
 type ProbeSucceeded struct{}
 
-// Completed is work that an upstream completed.
+// Completed is a request that an upstream has completed.
 type Completed struct {
-	// Duration is the time that the work took, without waiting in a queue.
+	// Duration is the processing time, without the time in a queue.
 	Duration burdockclock.Millis
-	// Cost is how much it was.
+	// Cost is the size of the request.
 	Cost burdockid.Tokens
-	// Samples is how many requests Duration and Cost are the mean of: 1 for what
-	// the entry saw itself, more where the upstream's agent reports the mean
-	// of its own recent ones. 0 counts as 1.
+	// Samples is the number of requests that Duration and Cost are the mean of: 1 for a
+	// request of this entry, more where the upstream's agent reports the mean of its own
+	// recent requests. 0 counts as 1.
 	Samples int
 }
 
-// Failed is an offer that broke: a silent connection, an answer cut.
+// Failed is an offer that broke off: the connection went silent or the response was cut.
 type Failed struct{}
 
-// ConnectFailed is an offer that was never sent, since no connection could be made.
+// ConnectFailed is an offer that was never sent because no connection could be made.
 type ConnectFailed struct{}
 
 func (ResponseStarted) observation() {}
@@ -53,7 +52,7 @@
 // Level is a degree of ejection.
 type Level uint8
 
-// Degrees, each with less work than the one before.
+// Levels, in order of decreasing weight.
 const (
 	LevelFull Level = iota
 	LevelHalf
@@ -61,7 +60,7 @@
 	LevelEjected
 )
 
-// Weight returns the share of its usual work that an upstream gets at l.
+// Weight returns the share of its regular load that an upstream gets at l.
 func (l Level) Weight() float64 {
 	switch l {
 	case LevelFull:
@@ -75,7 +74,7 @@
 	}
 }
 
-// String returns the name of the level as the state dump shows it.
+// String returns the name of the level, as shown in the state dump.
 func (l Level) String() string {
 	switch l {
 	case LevelFull:
@@ -89,7 +88,7 @@
 	}
 }
 
-// Cause says why an upstream stands where it does.
+// Cause is the reason for a change of level.
 type Cause string
 
 // Causes of a change of level.
@@ -100,8 +99,7 @@
 	CauseRecovered Cause = "recovers"
 )
 
-// Change is a change of one upstream's weight, to be handed to the placer and
-// to the log.
+// Change is a change of one upstream's weight, to be passed to the placer and logged.
 type Change struct {
 	Upstream burdockid.Upstream
 	Level    Level
@@ -109,22 +107,23 @@
 	Cause    Cause
 }
 
-// Tracker judges the upstreams of one service.
+// Tracker tracks the health of the upstreams of one service.
 type Tracker struct {
 	cfg     Config
 	rnd     *rand.Rand
 	records map[burdockid.Upstream]*record
 	members int
 	peers   peers
-	// lost is the sum of work taken away, in whole upstreams, by cause.
-	lostSlow    float64
-	lostFailing float64
-	probes      probeHeap
-	probedAt    burdockclock.Millis
+	// removedSlow and removedFailing are the sums of the weight removed for each cause;
+	// an ejected upstream counts 1.
+	removedSlow    float64
+	removedFailing float64
+	probes         probeHeap
+	lastProbeAt    burdockclock.Millis
 }
 
-// New returns a tracker without members. The source rnd must be used by
-// nothing else; fields of cfg that are zero take their defaults.
+// New returns a tracker without members. The source rnd must be used by nothing else;
+// zero fields of cfg take their defaults.
 func New(cfg Config, rnd *rand.Rand) *Tracker {
 	return &Tracker{
 		cfg:     cfg.withDefaults(),
--- a/internal/decide/burdockeject/eject_test.go
+++ b/internal/decide/burdockeject/eject_test.go
@@ -26,12 +26,12 @@
 	return t
 }
 
-// answer is one answer of usual length, stretched by slow, with the variation
-// of lengths that a healthy upstream shows.
-func answer(rnd *rand.Rand, slow float64) Completed {
-	work := 100 + rnd.IntN(400)
-	took := 40 * float64(work) * slow * math.Exp2(0.25*rnd.NormFloat64())
-	return Completed{Duration: burdockclock.Millis(took), Cost: burdockid.Tokens(work)}
+// completed returns a completed request whose typical duration is multiplied by slow, with
+// the variation that a healthy upstream shows.
+func completed(rnd *rand.Rand, slow float64) Completed {
+	cost := 100 + rnd.IntN(400)
+	duration := 40 * float64(cost) * slow * math.Exp2(0.25*rnd.NormFloat64())
+	return Completed{Duration: burdockclock.Millis(duration), Cost: burdockid.Tokens(cost)}
 }
 
 func ExampleTracker() {
@@ -47,14 +47,14 @@
 	// quarter 0.25 failing
 }
 
-// One upstream of 16 takes four times as long as its peers. Callers placed
-// there wait; it must lose its work within some tens of its own answers, and
-// none of the healthy ones may lose any for long.
-func TestSlowUpstreamLosesItsWork(t *testing.T) {
+// One upstream of 16 takes four times as long as its peers, and its callers wait. It has
+// to be ejected within some tens of its own responses, and no healthy upstream may stay
+// at a reduced weight.
+func TestSlowUpstreamIsEjected(t *testing.T) {
 	tracker := testTracker(16, 1)
 	rnd := rand.New(rand.NewPCG(1, 2))
 	all := upstreams(16)
-	out := 0
+	ejectedAfter := 0
 	for i := range 4000 {
 		now := burdockclock.Millis(i * 100)
 		u := all[rnd.IntN(len(all))]
@@ -62,13 +62,13 @@
 		if u == all[3] {
 			slow = 4
 		}
-		tracker.Observe(now, u, answer(rnd, slow))
-		if out == 0 && tracker.Weight(all[3]) == 0 {
-			out = i
+		tracker.Observe(now, u, completed(rnd, slow))
+		if ejectedAfter == 0 && tracker.Weight(all[3]) == 0 {
+			ejectedAfter = i
 		}
 	}
-	if out == 0 || out > 800 {
-		t.Errorf("slow upstream out after %d answers of all, want within 800", out)
+	if ejectedAfter == 0 || ejectedAfter > 800 {
+		t.Errorf("slow upstream ejected after %d responses of all upstreams, want within 800", ejectedAfter)
 	}
 	for _, u := range all {
 		if got := tracker.Weight(u); u != all[3] && got != 1 {
@@ -77,37 +77,36 @@
 	}
 }
 
-// An entry sees 18 answers a second of 3,800 upstreams, so each upstream once
-// in three and a half minutes. One is slow. Its own answers are too few; the
-// mean that its agent reports with each answer must do.
-func TestFewSamplesSufficeWithTheAgentsOwnMean(t *testing.T) {
+// An entry with 18 responses a second from 3,800 upstreams sees each upstream once in
+// three and a half minutes. Its own samples of a slow upstream are too few; the mean that
+// the upstream's agent reports with each response has to be enough.
+func TestReportedMeanMakesUpForFewSamples(t *testing.T) {
 	tracker := testTracker(3800, 2)
 	rnd := rand.New(rand.NewPCG(2, 2))
 	all := upstreams(3800)
 	for i := range 2000 {
-		tracker.Observe(burdockclock.Millis(i*55), all[1+rnd.IntN(len(all)-1)], answer(rnd, 1))
+		tracker.Observe(burdockclock.Millis(i*55), all[1+rnd.IntN(len(all)-1)], completed(rnd, 1))
 	}
-	seen := 0
-	for ; tracker.Weight(all[0]) > 0 && seen < 50; seen++ {
-		o := answer(rnd, 4)
+	responses := 0
+	for ; tracker.Weight(all[0]) > 0 && responses < 50; responses++ {
+		o := completed(rnd, 4)
 		o.Samples = 30
-		tracker.Observe(burdockclock.Millis(seen)*211*burdockclock.Second+burdockclock.Minute*2, all[0], o)
+		tracker.Observe(burdockclock.Millis(responses)*211*burdockclock.Second+burdockclock.Minute*2, all[0], o)
 	}
-	if got, want := seen, 4; got > want {
-		t.Errorf("answers until out = %d, want at most %d", got, want)
+	if got, want := responses, 4; got > want {
+		t.Errorf("responses until ejected = %d, want at most %d", got, want)
 	}
 }
 
-// One data centre of three is lost at once, or two regions of three are cut
-// off: every offer there fails. Those upstreams must lose their work. The rest
-// answers on and keeps its own.
-func TestDataCentresLost(t *testing.T) {
+// One data centre of three fails, or two regions of three are cut off, and every offer
+// there fails. Those upstreams have to be ejected; the others keep their full weight.
+func TestDataCentreFailure(t *testing.T) {
 	for _, n := range []int{5, 11} {
-		t.Run(fmt.Sprint(n), func(t *testing.T) { testLost(t, n) })
+		t.Run(fmt.Sprint(n), func(t *testing.T) { testDataCentreFailure(t, n) })
 	}
 }
 
-func testLost(t *testing.T, n int) {
+func testDataCentreFailure(t *testing.T, n int) {
 	tracker := testTracker(16, 3)
 	rnd := rand.New(rand.NewPCG(3, 2))
 	all := upstreams(16)
@@ -118,7 +117,7 @@
 			tracker.Observe(burdockclock.Millis(i*100), u, ConnectFailed{})
 			continue
 		}
-		tracker.Observe(burdockclock.Millis(i*100), u, answer(rnd, 1))
+		tracker.Observe(burdockclock.Millis(i*100), u, completed(rnd, 1))
 	}
 	for _, u := range all {
 		want := 1.0
@@ -131,10 +130,10 @@
 	}
 }
 
-// This entry's own network fails, so that all upstreams seem to. Were all
-// ejected, the entry would have nowhere to send its work when its network
-// comes back; the cap leaves it some, and probes bring back the rest.
-func TestCapHoldsWhenAllFail(t *testing.T) {
+// This entry's own network fails, so all upstreams seem to fail. If all were ejected, the
+// entry would have no upstream to use when its network recovers. The cap keeps some in
+// use, and probes bring back the rest.
+func TestFailureCapHoldsWhenAllFail(t *testing.T) {
 	tracker := testTracker(16, 4)
 	all := upstreams(16)
 	for i := range 2000 {
@@ -154,14 +153,14 @@
 	for i := range 6000 {
 		now := burdockclock.Minute + burdockclock.Millis(i*100)
 		if u, ok := tracker.NextProbe(now); ok {
-			tracker.Observe(now, u, answer(rnd, 1))
+			tracker.Observe(now, u, completed(rnd, 1))
 		}
 		if u := all[i%16]; tracker.Weight(u) > 0 {
-			tracker.Observe(now, u, answer(rnd, 1))
+			tracker.Observe(now, u, completed(rnd, 1))
 		}
 	}
 	if got, want := weight(), 16.0; got != want {
-		t.Errorf("weight after all came back = %v, want %v", got, want)
+		t.Errorf("weight after the network recovered = %v, want %v", got, want)
 	}
 }
 
@@ -182,9 +181,9 @@
 	}
 }
 
-// An upstream takes every request and cuts every answer. Each caller loses an
-// answer there; that the upstream can be reached must not keep it in use.
-func TestUpstreamThatCutsAnswersFalls(t *testing.T) {
+// An upstream accepts every request and cuts every response. It has to be ejected
+// although it is reachable.
+func TestUpstreamThatCutsResponsesIsEjected(t *testing.T) {
 	tracker := testTracker(16, 8)
 	cut := 0
 	for ; tracker.Weight("replica-0001") > 0 && cut < 100; cut++ {
@@ -192,13 +191,13 @@
 		tracker.Observe(0, "replica-0001", Failed{})
 	}
 	if got, want := cut, 10; got > want {
-		t.Errorf("answers cut until out = %d, want at most %d", got, want)
+		t.Errorf("cut responses until ejected = %d, want at most %d", got, want)
 	}
 }
 
-// An upstream answers every probe and then works at a quarter of the pace. Each
-// return costs callers slow answers, so returns must become rare.
-func TestSlowUnderLoadReturnsMoreAndMoreSeldom(t *testing.T) {
+// An upstream passes every probe, but is four times slower than its peers under load.
+// Each return costs callers slow responses, so its returns have to become rare.
+func TestSlowUnderLoadReturnsLessAndLessOften(t *testing.T) {
 	tracker := testTracker(16, 10)
 	rnd := rand.New(rand.NewPCG(10, 2))
 	all := upstreams(16)
@@ -209,9 +208,9 @@
 				returns++
 			}
 		}
-		tracker.Observe(now, all[1+rnd.IntN(15)], answer(rnd, 1))
+		tracker.Observe(now, all[1+rnd.IntN(15)], completed(rnd, 1))
 		if tracker.Weight(all[0]) > 0 {
-			tracker.Observe(now, all[0], answer(rnd, 4))
+			tracker.Observe(now, all[0], completed(rnd, 4))
 		}
 	}
 	if returns < 1 || returns > 20 {
@@ -219,10 +218,10 @@
 	}
 }
 
-// A data centre of 380 upstreams is gone for an hour, and all are ejected. The
-// entry has 18 requests a second; each probe costs a caller a detour. Probes
-// must take no more than their gap allows, however many are due.
-func TestProbesKeepTheirGap(t *testing.T) {
+// A data centre of 380 upstreams is ejected for an hour. The entry has 18 requests a
+// second, and each probe costs a caller a detour. The probe interval has to hold however
+// many probes are due.
+func TestMinProbeIntervalHolds(t *testing.T) {
 	tracker := testTracker(3800, 9)
 	for _, u := range upstreams(380) {
 		for range 10 {
@@ -239,19 +238,19 @@
 	if got, want := probes, 100; got < want {
 		t.Errorf("probes in a minute = %d, want at least %d of the 380 that are due", got, want)
 	}
-	if got, want := probes, int(burdockclock.Minute/defaultProbeGap)+probeBurst; got > want {
+	if got, want := probes, int(burdockclock.Minute/defaultMinProbeInterval)+probeBurst; got > want {
 		t.Errorf("probes in a minute = %d, want at most %d", got, want)
 	}
 }
 
-func TestLeavingGetsNothingAndIsNotProbed(t *testing.T) {
+func TestLeavingUpstreamGetsNoRequestsOrProbes(t *testing.T) {
 	tracker := testTracker(2, 6)
 	if change, ok := tracker.MarkLeaving(0, "replica-0000"); !ok || change.Weight != 0 {
 		t.Errorf("Leave = %+v, %t; want weight 0", change, ok)
 	}
 	rnd := rand.New(rand.NewPCG(6, 2))
 	for now := burdockclock.Millis(0); now < burdockclock.Hour; now += burdockclock.Second {
-		tracker.Observe(now, "replica-0000", answer(rnd, 1))
+		tracker.Observe(now, "replica-0000", completed(rnd, 1))
 		if u, ok := tracker.NextProbe(now); ok {
 			t.Fatalf("Probe = %s, want none", u)
 		}
@@ -261,9 +260,9 @@
 	}
 }
 
-// Any order of answers, failures, probes, leaving and returning: the caps hold,
-// the sums match the records, and each ejected upstream has its next probe.
-func TestAnyOrder(t *testing.T) {
+// For any order of observations, probes, leaving and restarts, the caps hold, the sums
+// match the records, and each ejected upstream has a scheduled probe.
+func TestInvariantsHoldInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "members")
 		all := upstreams(n)
@@ -283,26 +282,26 @@
 			"leave":  func(t *rapid.T) { tracker.MarkLeaving(now, any(t)) },
 			"return": func(t *rapid.T) { tracker.Reset(now, any(t)) },
 			"probe":  func(*rapid.T) { tracker.NextProbe(now) },
-			"":       func(t *rapid.T) { checkTracker(t, tracker) },
+			"":       func(t *rapid.T) { checkSums(t, tracker) },
 		})
 	})
 }
 
-func checkTracker(t *rapid.T, tracker *Tracker) {
+func checkSums(t *rapid.T, tracker *Tracker) {
 	slow, failing := 0.0, 0.0
 	for _, r := range tracker.records {
-		tracker.verify(r)
+		tracker.checkInvariants(r)
 		if r.cause == CauseSlow {
-			slow += r.lost()
+			slow += r.removed()
 		} else {
-			failing += r.lost()
+			failing += r.removed()
 		}
 	}
-	if slow != tracker.lostSlow || failing != tracker.lostFailing {
-		t.Fatalf("lost = %v and %v, want %v and %v", tracker.lostSlow, tracker.lostFailing, slow, failing)
+	if slow != tracker.removedSlow || failing != tracker.removedFailing {
+		t.Fatalf("removed weight = %v slow and %v failing, want %v and %v", tracker.removedSlow, tracker.removedFailing, slow, failing)
 	}
-	if got, want := slow+failing, tracker.most(tracker.cfg.FailureCap); got > want {
-		t.Fatalf("lost = %v, want at most %v", got, want)
+	if got, want := slow+failing, tracker.maxRemoved(tracker.cfg.FailureCap); got > want {
+		t.Fatalf("removed weight = %v, want at most %v", got, want)
 	}
 }
 
@@ -316,7 +315,7 @@
 			for i := 0; b.Loop(); i++ {
 				now := burdockclock.Millis(i)
 				tracker.NextProbe(now)
-				tracker.Observe(now, all[i%n], answer(rnd, 1))
+				tracker.Observe(now, all[i%n], completed(rnd, 1))
 			}
 		})
 	}
--- a/internal/decide/burdockeject/judge.go
+++ b/internal/decide/burdockeject/judge.go
@@ -6,22 +6,21 @@
 )
 
 const (
-	// failureScore is what one failure counts for.
+	// failureScore is the score of one failure.
 	failureScore = 1
-	// unreachedScore is what it counts for that no connection could be made: a
-	// request cannot be to blame for that, only the upstream or the network.
-	unreachedScore = 1.5
+	// connectFailedScore is the score of a failed connection. It is higher because a
+	// request cannot cause it, only the upstream or the network.
+	connectFailedScore = 1.5
 )
 
-// Observe takes in what one answer tells of u. It returns the change of
-// weight that follows, if any. Its cost does not depend on the number of
-// upstreams.
+// Observe records an observation of u and returns the resulting change of weight, if any.
+// Its cost does not depend on the number of upstreams.
 //
-// Made for: one upstream on a failing accelerator, or a data centre that is
-// lost at once. Each request sent there costs its caller the wait and a retry.
+// It covers both a single upstream on a failing accelerator and the loss of a whole data
+// centre. Each request sent to such an upstream costs its caller the wait and a retry.
 func (t *Tracker) Observe(now burdockclock.Millis, u burdockid.Upstream, o Observation) (Change, bool) {
 	r := t.records[u]
-	if !concerns(o, r) {
+	if !isRelevant(o, r) {
 		return Change{}, false
 	}
 	score, cause := t.score(o)
@@ -29,22 +28,23 @@
 		if score <= 0 {
 			return Change{}, false
 		}
-		r = &record{upstream: u, scoredAt: now, place: noPlace}
+		r = &record{upstream: u, scoredAt: now, heapIndex: notScheduled}
 		t.records[u] = r
 	}
 	if r.leaving {
 		return Change{}, false
 	}
 	if r.level == LevelEjected {
-		return t.observeOut(now, r, score, cause)
+		return t.observeEjected(now, r, score, cause)
 	}
-	return t.observeIn(now, r, score, cause)
+	return t.observeActive(now, r, score, cause)
 }
 
-// concerns reports whether o tells anything of r. That an upstream can be
-// reached tells nothing of its pace; but when asked alone it can show no more,
-// so one that is out for being slow then gets a quarter of its work on trial.
-func concerns(o Observation, r *record) bool {
+// isRelevant reports whether o says anything about r. Being reachable says nothing about
+// speed, so a started response is ignored for a slow upstream. A probe without a request
+// can show no more than that, so its success lets an upstream that was ejected for
+// slowness back on trial at a quarter of its load.
+func isRelevant(o Observation, r *record) bool {
 	switch o.(type) {
 	case ResponseStarted:
 		return r != nil && r.cause != CauseSlow
@@ -54,43 +54,43 @@
 	return true
 }
 
-// score returns the evidence in o; it is positive where o speaks against the
-// upstream.
+// score returns the score of o, which is positive if o speaks against the upstream, and
+// the cause it counts towards.
 func (t *Tracker) score(o Observation) (float64, Cause) {
 	switch o := o.(type) {
 	case ResponseStarted, ProbeSucceeded:
-		// It weighs less than an answer: one that begins may still be cut, and an
-		// upstream that cuts each answer must fall.
+		// This weighs less than a completed request: a response that starts may still be
+		// cut, and an upstream that cuts every response has to be ejected.
 		return -t.cfg.Tolerance / 2, CauseFailing
 	case Failed:
 		return failureScore, CauseFailing
 	case ConnectFailed:
-		return unreachedScore, CauseFailing
+		return connectFailedScore, CauseFailing
 	case Completed:
-		slow, judged := t.peers.slowness(o)
-		if !judged {
+		slow, enoughSamples := t.peers.slowness(o)
+		if !enoughSamples {
 			return -t.cfg.Tolerance, CauseSlow
 		}
-		// A mean over several answers says more than one: its error falls with
-		// the square root, its evidence grows in proportion; four at most, so
-		// that one report alone never ejects.
-		const mostSamples = 4
-		samples := float64(min(max(o.Samples, 1), mostSamples))
+		// A mean over n responses is stronger evidence than one response: its error falls
+		// with the square root of n, and its evidence grows in proportion to n. The limit
+		// keeps a single report from ejecting an upstream.
+		const maxSamples = 4
+		samples := float64(min(max(o.Samples, 1), maxSamples))
 		score := (slow - t.cfg.Tolerance) * samples
 		return min(max(score, -t.cfg.MaxScore), t.cfg.MaxScore), CauseSlow
 	default:
-		panic("burdockeject: no observation")
+		panic("burdockeject: unknown observation")
 	}
 }
 
-func (t *Tracker) observeIn(now burdockclock.Millis, r *record, score float64, cause Cause) (Change, bool) {
-	r.fade(now, t.cfg.ScoreHalfLife)
+func (t *Tracker) observeActive(now burdockclock.Millis, r *record, score float64, cause Cause) (Change, bool) {
+	r.decay(now, t.cfg.ScoreHalfLife)
 	r.score = max(0, r.score+score)
 	switch {
-	case r.score >= t.evidence(r.level):
-		return t.fall(now, r, cause)
+	case r.score >= t.threshold(r.level):
+		return t.demote(now, r, cause)
 	case r.score == 0 && r.level > LevelFull && now-r.changedAt >= t.cfg.MinRecoveryInterval:
-		return t.rise(now, r)
+		return t.promote(now, r)
 	}
 	if r.score == 0 && r.level == LevelFull {
 		delete(t.records, r.upstream)
@@ -98,86 +98,85 @@
 	return Change{}, false
 }
 
-// evidence returns the score at which an upstream falls from l. Once one step
-// has been taken, less is needed for the next: at a lower weight there is less
-// of it, and an entry that sees each upstream every few minutes would take an
-// hour to be rid of a dead one.
-func (t *Tracker) evidence(l Level) float64 {
+// threshold returns the score at which an upstream is demoted from l. After the first
+// demotion half the score is enough: at a lower weight there are fewer observations, and
+// an entry that sees each upstream every few minutes would take an hour to eject a dead
+// one.
+func (t *Tracker) threshold(l Level) float64 {
 	if l == LevelFull {
 		return t.cfg.ScoreThreshold
 	}
 	return t.cfg.ScoreThreshold / 2
 }
 
-// observeOut takes in the answer to a probe, or a late one to an offer from
-// before the ejection. The late one tells of the past and decides nothing.
-func (t *Tracker) observeOut(now burdockclock.Millis, r *record, score float64, cause Cause) (Change, bool) {
+// observeEjected handles the result of a probe. The late result of an offer from before
+// the ejection describes the past and is ignored.
+func (t *Tracker) observeEjected(now burdockclock.Millis, r *record, score float64, cause Cause) (Change, bool) {
 	if !r.probing {
 		return Change{}, false
 	}
 	r.probing = false
 	if score > 0 {
-		t.account(r, -1)
+		t.addRemoved(r, -1)
 		r.cause = cause
-		t.account(r, 1)
+		t.addRemoved(r, 1)
 		t.schedule(r, now+t.backoff(r.failures))
 		r.failures++
 		return Change{}, false
 	}
 	r.score = 0
 	r.scoredAt = now
-	return t.rise(now, r)
+	return t.promote(now, r)
 }
 
-// fall takes away one degree, unless that would take away more than the cap.
-func (t *Tracker) fall(now burdockclock.Millis, r *record, cause Cause) (Change, bool) {
+// demote lowers r by one level, unless that exceeds a cap.
+func (t *Tracker) demote(now burdockclock.Millis, r *record, cause Cause) (Change, bool) {
 	next := r.level + 1
-	// The score starts anew at each level: the next step needs new evidence,
-	// seen at the lower weight.
+	// Demotion from the next level needs new evidence, collected at the lower weight.
 	r.score = 0
-	if !t.within(r, next, cause) {
+	if !t.withinCap(r, next, cause) {
 		return Change{}, false
 	}
-	return t.move(now, r, next, cause), true
+	return t.setLevel(now, r, next, cause), true
 }
 
-func (t *Tracker) rise(now burdockclock.Millis, r *record) (Change, bool) {
-	return t.move(now, r, r.level-1, CauseRecovered), true
+func (t *Tracker) promote(now burdockclock.Millis, r *record) (Change, bool) {
+	return t.setLevel(now, r, r.level-1, CauseRecovered), true
 }
 
-// within reports whether r may stand at the level for that cause.
-func (t *Tracker) within(r *record, level Level, cause Cause) bool {
-	slow, failing := t.lostSlow, t.lostFailing
+// withinCap reports whether the caps allow r to be at the level for that cause.
+func (t *Tracker) withinCap(r *record, level Level, cause Cause) bool {
+	slow, failing := t.removedSlow, t.removedFailing
 	if r.cause == CauseSlow {
-		slow -= r.lost()
+		slow -= r.removed()
 	} else {
-		failing -= r.lost()
+		failing -= r.removed()
 	}
-	lost := 1 - level.Weight()
-	if cause == CauseSlow && slow+lost > t.most(t.cfg.SlowCap) {
+	removed := 1 - level.Weight()
+	if cause == CauseSlow && slow+removed > t.maxRemoved(t.cfg.SlowCap) {
 		return false
 	}
-	return slow+failing+lost <= t.most(t.cfg.FailureCap)
+	return slow+failing+removed <= t.maxRemoved(t.cfg.FailureCap)
 }
 
-// most returns how many whole upstreams' work may be taken away. One may go
-// even where the share allows less, if that leaves another.
-func (t *Tracker) most(share float64) float64 {
+// maxRemoved returns how much weight may be removed at that share, in whole upstreams. It
+// is at least one upstream if there is another to take the load.
+func (t *Tracker) maxRemoved(share float64) float64 {
 	if t.members < 2 {
 		return 0
 	}
 	return max(1, share*float64(t.members))
 }
 
-func (t *Tracker) move(now burdockclock.Millis, r *record, level Level, cause Cause) Change {
-	kept := cause
+func (t *Tracker) setLevel(now burdockclock.Millis, r *record, level Level, cause Cause) Change {
+	recordCause := cause
 	if cause == CauseRecovered {
-		kept = r.cause
+		recordCause = r.cause
 	}
-	t.account(r, -1)
+	t.addRemoved(r, -1)
 	r.level = level
-	r.cause = kept
-	t.account(r, 1)
+	r.cause = recordCause
+	t.addRemoved(r, 1)
 	r.changedAt = now
 	switch level {
 	case LevelEjected:
@@ -189,26 +188,26 @@
 	default:
 		t.unschedule(r)
 	}
-	t.verify(r)
+	t.checkInvariants(r)
 	return Change{Upstream: r.upstream, Level: level, Weight: level.Weight(), Cause: cause}
 }
 
-func (t *Tracker) account(r *record, sign float64) {
+func (t *Tracker) addRemoved(r *record, sign float64) {
 	if r.cause == CauseSlow {
-		t.lostSlow += sign * r.lost()
+		t.removedSlow += sign * r.removed()
 	} else {
-		t.lostFailing += sign * r.lost()
+		t.removedFailing += sign * r.removed()
 	}
 }
 
-// verify panics when r, or the sums, contradict the promises of the package.
-func (t *Tracker) verify(r *record) {
+// checkInvariants panics if r or the sums violate the tracker's invariants.
+func (t *Tracker) checkInvariants(r *record) {
 	switch {
-	case r.leaving && r.place != noPlace:
-		panic("burdockeject: a leaving upstream is to be probed: " + string(r.upstream))
-	case !r.leaving && (r.level == LevelEjected) != (r.place != noPlace):
-		panic("burdockeject: an ejected upstream is not to be probed: " + string(r.upstream))
-	case t.lostSlow < 0 || t.lostFailing < 0:
-		panic("burdockeject: more work given back than taken away")
+	case r.leaving && r.heapIndex != notScheduled:
+		panic("burdockeject: a leaving upstream has a probe scheduled: " + string(r.upstream))
+	case !r.leaving && (r.level == LevelEjected) != (r.heapIndex != notScheduled):
+		panic("burdockeject: scheduled probe does not match the level: " + string(r.upstream))
+	case t.removedSlow < 0 || t.removedFailing < 0:
+		panic("burdockeject: negative sum of removed weight")
 	}
 }
--- a/internal/decide/burdockeject/members.go
+++ b/internal/decide/burdockeject/members.go
@@ -5,8 +5,8 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// SetMembers replaces the members. What is known of one that is no longer
-// among them is forgotten: under the same name, another VM may return.
+// SetMembers replaces the members. Records of upstreams that are no longer members are
+// dropped, as another VM may later return under the same name.
 func (t *Tracker) SetMembers(_ burdockclock.Millis, members []burdockid.Upstream) {
 	t.members = len(members)
 	known := make(map[burdockid.Upstream]bool, len(members))
@@ -20,28 +20,27 @@
 	}
 }
 
-// MarkLeaving tells that u is leaving. It gets nothing new from now on, whatever
-// the caps, and is not probed: it runs well, but it would cut off the work.
+// MarkLeaving records that u is leaving. From now on it gets no new requests, whatever
+// the caps. It is not probed either: it is healthy, but would cut off the request.
 func (t *Tracker) MarkLeaving(now burdockclock.Millis, u burdockid.Upstream) (Change, bool) {
 	r := t.records[u]
 	if r == nil {
-		r = &record{upstream: u, scoredAt: now, place: noPlace}
+		r = &record{upstream: u, scoredAt: now, heapIndex: notScheduled}
 		t.records[u] = r
 	}
 	if r.leaving {
 		return Change{}, false
 	}
-	t.account(r, -1)
+	t.addRemoved(r, -1)
 	t.unschedule(r)
 	r.leaving = true
 	r.level = LevelEjected
 	r.probing = false
-	t.verify(r)
+	t.checkInvariants(r)
 	return Change{Upstream: u, Level: LevelEjected, Cause: CauseLeaving}, true
 }
 
-// Reset tells that a new process has started in place of u. Nothing that was
-// known of the old one holds for it.
+// Reset drops all that is known about u because a new process has replaced it.
 func (t *Tracker) Reset(_ burdockclock.Millis, u burdockid.Upstream) (Change, bool) {
 	r := t.records[u]
 	if r == nil {
@@ -52,12 +51,12 @@
 }
 
 func (t *Tracker) forget(r *record) {
-	t.account(r, -1)
+	t.addRemoved(r, -1)
 	t.unschedule(r)
 	delete(t.records, r.upstream)
 }
 
-// Weight returns the share of its usual work that u should get.
+// Weight returns the share of its regular load that u should get.
 func (t *Tracker) Weight(u burdockid.Upstream) float64 {
 	r := t.records[u]
 	if r == nil {
@@ -66,35 +65,35 @@
 	return r.level.Weight()
 }
 
-// NextProbe returns an ejected upstream that is due to be probed: by one request,
-// which the caller offers to it in place of the upstream that its placer would
-// choose and which may be offered again after a failure; or by asking it how
-// it is, which ends in ProbeSucceeded or ConnectFailed. No other is probed by the same call, and the same one not before
-// its answer.
+// NextProbe returns an ejected upstream that is due for a probe. The caller probes it
+// either with one request that may be retried after a failure, sent there instead of to
+// the placer's choice, or with a health check that ends in ProbeSucceeded or
+// ConnectFailed. Each call returns one upstream, which is not returned again before the
+// result or the timeout of its probe.
 func (t *Tracker) NextProbe(now burdockclock.Millis) (burdockid.Upstream, bool) {
-	if len(t.probes) == 0 || t.probes[0].probeAt > now || t.probedAt+t.cfg.MinProbeInterval > now {
+	if len(t.probes) == 0 || t.probes[0].probeAt > now || t.lastProbeAt+t.cfg.MinProbeInterval > now {
 		return "", false
 	}
-	// A caller that asks seldom may take what it left, up to a few at a time.
-	t.probedAt = max(t.probedAt+t.cfg.MinProbeInterval, now-probeBurst*t.cfg.MinProbeInterval)
+	// A caller that asks rarely may catch up on up to probeBurst probes at once.
+	t.lastProbeAt = max(t.lastProbeAt+t.cfg.MinProbeInterval, now-probeBurst*t.cfg.MinProbeInterval)
 	r := t.probes[0]
 	if r.probing {
-		// The last probe was never told of.
+		// The previous probe has timed out.
 		r.failures++
 	}
 	r.probing = true
 	t.schedule(r, now+max(t.cfg.ProbeTimeout, t.backoff(r.failures)))
-	t.verify(r)
+	t.checkInvariants(r)
 	return r.upstream, true
 }
 
-// Fallback returns an ejected upstream for a request that no other is left for:
-// of those that aren't skipped the one that is due to be probed first. Its answer
-// counts as that of a probe.
+// Fallback returns an ejected upstream for a request that has no other upstream left: the
+// one whose probe is due first, among those not skipped. The result counts as that of a
+// probe.
 //
-// Load: few upstreams, of which the sound ones leave while another is out. Harm
-// prevented: every request is refused until a probe happens to be made, though the
-// upstream may long be well; one that fails loses nothing by it.
+// This matters with few upstreams, when the healthy ones leave while another is ejected.
+// Without it, every request is refused until the next probe, although the upstream may
+// have recovered. A request that fails there has lost nothing.
 func (t *Tracker) Fallback(skip func(burdockid.Upstream) bool) (burdockid.Upstream, bool) {
 	var found *record
 	for _, r := range t.probes {
--- a/internal/decide/burdockeject/peers.go
+++ b/internal/decide/burdockeject/peers.go
@@ -7,49 +7,51 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// peers holds what work of each size usually takes, over all upstreams.
+// peers holds the typical time per token, over all upstreams, for each size of request.
 //
-// Sizes fall into classes by powers of two: a short answer pays for its prompt
-// in few tokens and takes longer for each of them than a long one, so one mean
-// over all work would call every upstream slow that happens to get the short.
+// Requests are classified by size in powers of two. A short response spreads the cost of
+// its prompt over few tokens, so it takes longer per token than a long one. With a single
+// mean, an upstream that happens to get short requests would look slow.
 //
-// The mean is over logarithms, which one very slow answer hardly moves.
+// The mean is taken over logarithms, which a single very slow response hardly moves.
 type peers struct {
 	classes [sizeClasses]peerClass
 }
 
 const (
 	sizeClasses = 32
-	// peerSamples is over how many answers the mean moves.
-	peerSamples = 256
-	// peerEvidence is how many answers a class needs before it judges anyone.
-	peerEvidence = 16
-	// outlier bounds, in doublings, by how much one answer can move the mean.
-	outlier = 2
+	// meanWindow is the number of responses that the moving mean covers.
+	meanWindow = 256
+	// minPeerSamples is the number of responses that a class needs before slowness is
+	// reported.
+	minPeerSamples = 16
+	// maxMeanShift bounds the deviation of one response, in doublings, that enters the
+	// mean.
+	maxMeanShift = 2
 )
 
 type peerClass struct {
-	mean    float64 // of the logarithm, base 2, of milliseconds for a token
+	mean    float64 // of log2(milliseconds per token)
 	samples int
 }
 
-// slowness returns by how many doublings the answer was slower than its peers,
-// negative where it was faster, and counts the answer among them. It returns
-// false while too little is known.
+// slowness returns how much slower than its peers the response was, in doublings
+// (negative if faster), and adds it to the mean. It returns false if the class has too
+// few samples.
 func (p *peers) slowness(a Completed) (float64, bool) {
 	class := &p.classes[sizeClass(a.Cost)]
-	pace := math.Log2(float64(max(a.Duration, 1)) / float64(max(a.Cost, 1)))
-	judged := class.samples >= peerEvidence
-	slow := pace - class.mean
-	class.samples = min(class.samples+1, peerSamples)
+	logPace := math.Log2(float64(max(a.Duration, 1)) / float64(max(a.Cost, 1)))
+	enoughSamples := class.samples >= minPeerSamples
+	slow := logPace - class.mean
+	class.samples = min(class.samples+1, meanWindow)
 	step := slow
-	if judged {
-		step = min(max(slow, -outlier), outlier)
+	if enoughSamples {
+		step = min(max(slow, -maxMeanShift), maxMeanShift)
 	}
 	class.mean += step / float64(class.samples)
-	return slow, judged
+	return slow, enoughSamples
 }
 
-func sizeClass(work burdockid.Tokens) int {
-	return min(bits.Len64(uint64(max(work, 0))), sizeClasses-1)
+func sizeClass(cost burdockid.Tokens) int {
+	return min(bits.Len64(uint64(max(cost, 0))), sizeClasses-1)
 }
--- a/internal/decide/burdockeject/probe.go
+++ b/internal/decide/burdockeject/probe.go
@@ -6,8 +6,8 @@
 	"burdockbend.example/burdockbend/internal/base/burdockclock"
 )
 
-// probeHeap orders the ejected upstreams by when each may next be probed, so
-// that a request costs one look however many are ejected.
+// probeHeap orders the ejected upstreams by the time of their next probe. Checking for a
+// due probe takes constant time, however many upstreams are ejected.
 type probeHeap []*record
 
 // Len implements heap.Interface.
@@ -24,14 +24,14 @@
 // Swap implements heap.Interface.
 func (h probeHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].place = i
-	h[j].place = j
+	h[i].heapIndex = i
+	h[j].heapIndex = j
 }
 
 // Push implements heap.Interface.
 func (h *probeHeap) Push(x any) {
 	r := x.(*record)
-	r.place = len(*h)
+	r.heapIndex = len(*h)
 	*h = append(*h, r)
 }
 
@@ -41,34 +41,33 @@
 	r := (*h)[last]
 	(*h)[last] = nil
 	*h = (*h)[:last]
-	r.place = noPlace
+	r.heapIndex = notScheduled
 	return r
 }
 
-// probeBurst is how many probes a caller that asked for none can take at once.
+// probeBurst is the largest number of probes that a caller can catch up on at once.
 const probeBurst = 4
 
-// schedule sets when r is next probed.
+// schedule sets the time of the next probe of r.
 func (t *Tracker) schedule(r *record, at burdockclock.Millis) {
 	r.probeAt = at
-	if r.place == noPlace {
+	if r.heapIndex == notScheduled {
 		heap.Push(&t.probes, r)
 		return
 	}
-	heap.Fix(&t.probes, r.place)
+	heap.Fix(&t.probes, r.heapIndex)
 }
 
 func (t *Tracker) unschedule(r *record) {
-	if r.place != noPlace {
-		heap.Remove(&t.probes, r.place)
+	if r.heapIndex != notScheduled {
+		heap.Remove(&t.probes, r.heapIndex)
 	}
 }
 
-// backoff returns the time to the next probe after the given number of probes
-// that failed.
-func (t *Tracker) backoff(failed int) burdockclock.Millis {
+// backoff returns the time until the next probe after that many failures.
+func (t *Tracker) backoff(failures int) burdockclock.Millis {
 	const maxDoublings = 20
-	most := min(t.cfg.InitialProbeDelay<<min(failed, maxDoublings), t.cfg.MaxProbeDelay)
-	half := int64(most / 2)
+	limit := min(t.cfg.InitialProbeDelay<<min(failures, maxDoublings), t.cfg.MaxProbeDelay)
+	half := int64(limit / 2)
 	return burdockclock.Millis(half + t.rnd.Int64N(half+1))
 }
--- a/internal/decide/burdockeject/state.go
+++ b/internal/decide/burdockeject/state.go
@@ -8,7 +8,7 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// State is what a dump of the process shows of a tracker.
+// State is the tracker's part of the state dump.
 type State struct {
 	Members              int             `json:"members"`
 	RemovedWeightSlow    float64         `json:"lostSlow"`
@@ -16,7 +16,7 @@
 	Upstreams            []UpstreamState `json:"upstreams"`
 }
 
-// UpstreamState is what a dump shows of one upstream with evidence against it.
+// UpstreamState is the state of one upstream that has evidence against it.
 type UpstreamState struct {
 	Upstream burdockid.Upstream  `json:"upstream"`
 	Level    string              `json:"level"`
@@ -28,12 +28,12 @@
 	Failures int                 `json:"failures"`
 }
 
-// State returns a copy of what the tracker knows, ordered by upstream.
+// State returns a copy of the tracker's state, ordered by upstream.
 func (t *Tracker) State() State {
 	s := State{
 		Members:              t.members,
-		RemovedWeightSlow:    t.lostSlow,
-		RemovedWeightFailing: t.lostFailing,
+		RemovedWeightSlow:    t.removedSlow,
+		RemovedWeightFailing: t.removedFailing,
 		Upstreams:            make([]UpstreamState, 0, len(t.records)),
 	}
 	for _, r := range t.records {
