--- a/internal/decide/burdockretry/rate.go
+++ b/internal/decide/burdockretry/rate.go
@@ -6,7 +6,7 @@
 	"burdockbend.example/burdockbend/internal/base/burdockclock"
 )
 
-// rate counts events that fade with age.
+// rate is a count of events that decays exponentially.
 type rate struct {
 	value float64
 	at    burdockclock.Millis
--- a/internal/decide/burdockretry/retry.go
+++ b/internal/decide/burdockretry/retry.go
@@ -1,8 +1,8 @@
-// Package burdockretry decides whether a request that was not answered is
-// offered again, or is given up with its final answer at once.
+// Package burdockretry decides whether a request that got no response is offered again or
+// given up.
 //
-// An entry keeps one Budget for each service. The package is pure: time and
-// randomness are passed in. A Budget is not safe for concurrent use.
+// An entry keeps one Budget for each service. The package is pure: time and randomness
+// are passed in. A Budget is not safe for concurrent use.
 package burdockretry
 
 import (
@@ -11,31 +11,31 @@
 	"burdockbend.example/burdockbend/internal/base/burdockclock"
 )
 
-// Outcome is how an offer ended: one of Refused, Leaving, OverLoadBound, ConnectFailed
-// and Failed.
+// Outcome is how an offer ended: Refused, Leaving, OverLoadBound, ConnectFailed or
+// Failed.
 type Outcome interface{ outcome() }
 
-// Refused is a refusal by an upstream's agent, which never handed the request
-// to its upstream.
+// Refused is a refusal by an upstream's agent. The request was not passed to the
+// upstream.
 type Refused struct {
-	// RetryAfter is the time to come back that the refusal told; 0 if none.
+	// RetryAfter is the time after which the agent asks the caller to return; 0 if none.
 	RetryAfter burdockclock.Millis
 }
 
-// Leaving is a refusal by an upstream that is stopped as planned, of a request
-// that waited there or had just come.
+// Leaving is a refusal by an upstream that is stopping as planned, for a request that was
+// queued there or had just arrived.
 type Leaving struct{}
 
-// OverLoadBound is a refusal only because the offer carried a bound on the load.
-// The upstream has room; another may have more.
+// OverLoadBound is a refusal of an offer that carried a bound on the upstream's load. The
+// upstream has room, but another may have more.
 type OverLoadBound struct{}
 
-// ConnectFailed is an offer that was never sent, since no connection could be made.
-// The entry itself knows that the request did not run.
+// ConnectFailed is an offer that was never sent because no connection could be made. It
+// is certain that the request did not run.
 type ConnectFailed struct{}
 
-// Failed is an offer whose outcome is unknown: the connection broke, or the
-// answer never came. The request may have run.
+// Failed is an offer whose connection broke or whose response never came. The request may
+// have run.
 type Failed struct{}
 
 func (Refused) outcome()       {}
@@ -44,67 +44,67 @@
 func (ConnectFailed) outcome() {}
 func (Failed) outcome()        {}
 
-// Attempt is what is known of a request after one of its offers ended.
+// Attempt describes a request after one of its offers ended.
 type Attempt struct {
 	// Outcome is how the latest offer ended.
 	Outcome Outcome
-	// Offers counts the offers made so far, the latest included.
+	// Offers is the number of offers so far, including the latest.
 	Offers int
-	// OverLoadBound counts those of them that ended in OverLoadBound.
+	// OverLoadBound is the number of offers that ended in OverLoadBound.
 	OverLoadBound int
-	// Idempotent reports whether running the request twice does no harm.
+	// Idempotent reports whether the request may run twice.
 	Idempotent bool
-	// Deadline is the instant at which the caller stops waiting; 0 if unknown.
+	// Deadline is the time at which the caller stops waiting; 0 if unknown.
 	Deadline burdockclock.Millis
-	// MinResponseTime is the least time in which an answer is of use; 0 if unknown.
+	// MinResponseTime is the minimum time to produce a useful response; 0 if unknown.
 	MinResponseTime burdockclock.Millis
 }
 
 // Decision is what to do next: Retry or GiveUp.
 type Decision interface{ decision() }
 
-// Retry asks for another offer, to another upstream where there is one.
+// Retry asks for another offer, to another upstream if there is one.
 type Retry struct {
 	// Delay is how long to wait first. It is 0 unless the offer failed.
 	Delay burdockclock.Millis
 }
 
-// GiveUp asks for the final answer to the caller, now. It is never held back:
-// the caller is told when to come back instead.
+// GiveUp ends the request with a final response, sent at once. It is never delayed; the
+// caller is asked to return later instead.
 type GiveUp struct {
 	Reason Reason
-	// RetryAfter is the time to come back, already spread.
+	// RetryAfter is the time after which the caller should return, jitter included; 0 if
+	// it should not.
 	RetryAfter burdockclock.Millis
 }
 
 func (Retry) decision()  {}
 func (GiveUp) decision() {}
 
-// Reason says why a request was given up.
+// Reason is why a request was given up.
 type Reason string
 
 // Reasons for giving up.
 const (
-	// ReasonUnknownOutcome: the request may have run and may not run twice.
+	// ReasonUnknownOutcome: the request may have run and is not idempotent.
 	ReasonUnknownOutcome Reason = "unknownOutcome"
-	// ReasonDeadline: no answer could come before the caller stops waiting.
+	// ReasonDeadline: no response is possible before the caller's deadline.
 	ReasonDeadline Reason = "deadline"
-	// ReasonMaxOffers: the request has been offered often enough.
+	// ReasonMaxOffers: the request has reached its maximum number of offers.
 	ReasonMaxOffers Reason = "offers"
-	// ReasonHighRefusalRate: most upstreams refuse, so one more would too.
+	// ReasonHighRefusalRate: most recent offers were refused.
 	ReasonHighRefusalRate Reason = "mostRefuse"
-	// ReasonBudget: retries have used up their share of the work.
+	// ReasonBudget: the retry budget is used up.
 	ReasonBudget Reason = "budget"
-	// ReasonGroupClosed: the group of engines runs nothing, and did not begin to while
-	// the request could wait.
+	// ReasonGroupClosed: the engine group was closed and did not open in time.
 	ReasonGroupClosed Reason = "groupClosed"
 	// ReasonCrashes: the request has crashed the upstreams that ran it.
 	ReasonCrashes Reason = "crashes"
-	// ReasonNoUpstream: there was no upstream to offer the request to.
+	// ReasonNoUpstream: no upstream was available.
 	ReasonNoUpstream Reason = "noUpstream"
 )
 
-// Budget bounds the retries of one service at one entry.
+// Budget limits the retries of one service at one entry.
 type Budget struct {
 	cfg       Config
 	rnd       *rand.Rand
@@ -112,11 +112,11 @@
 	retries   rate
 	offers    rate
 	refusals  rate
-	given     map[Reason]uint64
+	givenUp   map[Reason]uint64
 }
 
-// New returns a budget that nothing has been charged to. The source rnd must
-// be used by nothing else; fields of cfg that are zero take their defaults.
+// New returns a full budget. The source rnd must be used by nothing else; zero fields of
+// cfg take their defaults.
 func New(cfg Config, rnd *rand.Rand) *Budget {
-	return &Budget{cfg: cfg.withDefaults(), rnd: rnd, given: make(map[Reason]uint64)}
+	return &Budget{cfg: cfg.withDefaults(), rnd: rnd, givenUp: make(map[Reason]uint64)}
 }
--- a/internal/decide/burdockretry/retry_test.go
+++ b/internal/decide/burdockretry/retry_test.go
@@ -16,8 +16,8 @@
 
 func ExampleBudget_Decide() {
 	b := New(Config{}, rand.New(rand.NewPCG(1, 1)))
-	letter := Attempt{Outcome: Failed{}, Offers: 1}
-	switch d := b.Decide(0, letter).(type) {
+	attempt := Attempt{Outcome: Failed{}, Offers: 1}
+	switch d := b.Decide(0, attempt).(type) {
 	case Retry:
 		fmt.Println("offer it again")
 	case GiveUp:
@@ -32,16 +32,16 @@
 		attempt Attempt
 		want    Reason // empty: retry
 	}{
-		{"not run", Attempt{Outcome: Refused{}, Offers: 1}, ""},
-		{"not run, no time left", Attempt{Outcome: Refused{}, Offers: 1, Deadline: 1100, MinResponseTime: 200}, ReasonDeadline},
-		{"not run, offered often", Attempt{Outcome: Refused{}, Offers: 4}, ReasonMaxOffers},
-		{"over the bound is free", Attempt{Outcome: OverLoadBound{}, Offers: 5, OverLoadBound: 5}, ""},
-		{"over the bound without end", Attempt{Outcome: OverLoadBound{}, Offers: 9, OverLoadBound: 9}, ReasonMaxOffers},
-		{"over the bound, too late", Attempt{Outcome: OverLoadBound{}, Offers: 1, Deadline: 1000}, ReasonDeadline},
+		{"refused once", Attempt{Outcome: Refused{}, Offers: 1}, ""},
+		{"refused, no time left", Attempt{Outcome: Refused{}, Offers: 1, Deadline: 1100, MinResponseTime: 200}, ReasonDeadline},
+		{"refused, offered often", Attempt{Outcome: Refused{}, Offers: 4}, ReasonMaxOffers},
+		{"over the load bound is not charged", Attempt{Outcome: OverLoadBound{}, Offers: 5, OverLoadBound: 5}, ""},
+		{"over the load bound too often", Attempt{Outcome: OverLoadBound{}, Offers: 9, OverLoadBound: 9}, ReasonMaxOffers},
+		{"over the load bound, too late", Attempt{Outcome: OverLoadBound{}, Offers: 1, Deadline: 1000}, ReasonDeadline},
 		{"leaving", Attempt{Outcome: Leaving{}, Offers: 1}, ""},
 		{"leaving, too late", Attempt{Outcome: Leaving{}, Offers: 1, Deadline: 1000}, ReasonDeadline},
 		{"never sent", Attempt{Outcome: ConnectFailed{}, Offers: 1}, ""},
-		{"never sent, often", Attempt{Outcome: ConnectFailed{}, Offers: 8}, ReasonMaxOffers},
+		{"never sent, too often", Attempt{Outcome: ConnectFailed{}, Offers: 8}, ReasonMaxOffers},
 		{"never sent, too late", Attempt{Outcome: ConnectFailed{}, Offers: 1, Deadline: 1000}, ReasonDeadline},
 		{"unknown, idempotent", Attempt{Outcome: Failed{}, Offers: 1, Idempotent: true}, ""},
 		{"unknown, not idempotent", Attempt{Outcome: Failed{}, Offers: 1}, ReasonUnknownOutcome},
@@ -57,9 +57,9 @@
 	}
 }
 
-// Many requests wait at an agent that is stopped as planned, and all are
-// refused in one instant. Each is offered to another upstream, however few
-// answers the budget has seen.
+// Many requests are queued at an agent that stops as planned, and all are refused at one
+// instant. Each has to be offered to another upstream, however few responses the budget
+// has counted.
 func TestLeavingIsNotCharged(t *testing.T) {
 	b := testBudget(1)
 	for i := range 100 {
@@ -72,11 +72,10 @@
 	}
 }
 
-// Every upstream refuses, and a hundred callers a second go on asking. Each
-// gets its refusal after one offer, at once: further offers would only add to
-// the load, since all refuse. First offers go on, so that the entry notices by
-// itself when the upstreams take work again.
-func TestAllRefuse(t *testing.T) {
+// Every upstream refuses while callers send a hundred requests a second. Each caller has
+// to be refused after one offer, as retries would only add load. First offers have to
+// continue, so that the entry notices when the upstreams accept requests again.
+func TestHighRefusalRateStopsRetries(t *testing.T) {
 	b := testBudget(2)
 	retries := 0
 	for i := range 1000 {
@@ -90,38 +89,39 @@
 			}
 		}
 	}
-	if got, want := retries, defaultFloor; got > want {
+	if got, want := retries, defaultMinRetries; got > want {
 		t.Errorf("retries = %d, want at most %d", got, want)
 	}
 	for i := range 2000 {
 		b.RecordSuccess(burdockclock.Millis(10_000 + i*10))
 	}
 	if _, ok := b.Decide(30_000, Attempt{Outcome: Refused{}, Offers: 1}).(Retry); !ok {
-		t.Error("no retry once the upstreams take work again, want one")
+		t.Error("no retry once the upstreams accept requests again, want one")
 	}
 }
 
-// A data centre comes back while the callers that were refused are told when
-// to return. Told one time, all would return in one instant and be refused
-// again. No tenth of the span of times may get more than twice its part.
-func TestTimesToComeBackAreSpread(t *testing.T) {
+// A data centre recovers while many callers are refused. If all got the same Retry-After,
+// they would return at one instant and be refused again. No tenth of the range may get
+// more than twice its share of callers.
+func TestRetryAfterIsSpread(t *testing.T) {
 	const callers, parts = 1000, 10
 	b := testBudget(3)
 	counts := make([]int, parts)
 	for range callers {
 		after := b.GiveUpNoUpstream(0).RetryAfter
-		counts[min(int(after-defaultComeBack)*parts/int(defaultComeBack), parts-1)]++
+		counts[min(int(after-defaultMinRetryAfter)*parts/int(defaultMinRetryAfter), parts-1)]++
 	}
 	for i, got := range counts {
 		if want := 2 * callers / parts; got > want {
-			t.Errorf("part %d of the span gets %d callers, want at most %d", i, got, want)
+			t.Errorf("part %d of the range gets %d callers, want at most %d", i, got, want)
 		}
 	}
 }
 
-// One upstream of ten is lost. Retries must bring back what was sent there
-// without exceeding the budget: a tenth of recent successes and the floor.
-func TestRetriesStayWithinTheBudget(t *testing.T) {
+// For any order of successes and outcomes, retries stay within the budget: a tenth of
+// recent successes, plus the minimum. None exceeds the deadline or repeats a request that
+// may have run and is not idempotent.
+func TestRetryBudgetHoldsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := testBudget(rapid.Uint64().Draw(t, "seed"))
 		now := burdockclock.Second
@@ -141,10 +141,10 @@
 					t.Fatalf("retry after %d ms, want before the deadline", retry.Delay)
 				}
 				if _, failed := a.Outcome.(Failed); retried && failed && !a.Idempotent {
-					t.Fatal("retried a request that may have run, want none")
+					t.Fatal("retried a request that may have run and is not idempotent, want no retry")
 				}
 			},
-			"": func(*rapid.T) { b.verify(now) },
+			"": func(*rapid.T) { b.checkInvariants(now) },
 		})
 	})
 }
--- a/internal/decide/burdockretry/state.go
+++ b/internal/decide/burdockretry/state.go
@@ -6,7 +6,7 @@
 	"burdockbend.example/burdockbend/internal/base/burdockclock"
 )
 
-// State is what a dump of the process shows of a budget.
+// State is the budget's part of the state dump.
 type State struct {
 	RecentSuccesses float64           `json:"recentSuccesses"`
 	RecentRetries   float64           `json:"recentRetries"`
@@ -17,7 +17,7 @@
 	GivenUp         map[Reason]uint64 `json:"givenUp"`
 }
 
-// State returns a copy of what the budget knows.
+// State returns a copy of the budget's state.
 func (b *Budget) State(now burdockclock.Millis) State {
 	return State{
 		RecentSuccesses: b.successes.get(now, b.cfg.Window),
@@ -25,7 +25,7 @@
 		RecentOffers:    b.offers.get(now, b.cfg.Window),
 		RecentRefusals:  b.refusals.get(now, b.cfg.Window),
 		Allowance:       b.allowance(now),
-		HighRefusalRate: b.mostRefuse(now),
-		GivenUp:         maps.Clone(b.given),
+		HighRefusalRate: b.highRefusalRate(now),
+		GivenUp:         maps.Clone(b.givenUp),
 	}
 }
