--- a/internal/decide/burdocklockstep/lockstep.go
+++ b/internal/decide/burdocklockstep/lockstep.go
@@ -1,5 +1,5 @@
-// Package burdocklockstep tells an entry whether the engines of a lock-stepped
-// group run passes, from what the entry's own streams and offers show.
+// Package burdocklockstep infers whether the engines of a lock-step group run steps, from
+// the streams and offers of one entry.
 //
 // The package is pure: time is passed in. A View is not safe for concurrent use.
 package burdocklockstep
@@ -11,144 +11,145 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// State is what a group does, as far as an entry can tell.
+// State is the state of a group, as far as an entry can tell.
 type State string
 
 // States of a group.
 const (
-	// Advancing: the group runs passes, or nothing says otherwise.
+	// Advancing: the group runs steps, or nothing shows otherwise.
 	Advancing State = "moving"
-	// Stalled: streams run and none has had an event for several passes, as when
-	// a rank has died or an order holds the group.
+	// Stalled: streams are open and none has had an event for several steps, for instance
+	// because a rank has died or the group is on hold.
 	Stalled State = "standing"
-	// Closed: engines that have room refuse, as while the group forms anew.
+	// Closed: the engines refuse new requests although they have room, as they do while
+	// the ranks of the group join or rejoin.
 	Closed State = "closed"
 )
 
-// Config holds the times of a View. A zero field takes its default.
+// Config holds the timeouts and intervals of a View. A zero field takes its default.
 type Config struct {
-	// StallTimeout is how long all streams may be without an event before the group is
-	// taken to stand: several of its longest usual passes.
+	// StallTimeout is how long all streams may go without an event before the group
+	// counts as stalled. It is several times the longest typical step.
 	StallTimeout burdockclock.Millis
-	// FirstEventTimeout is the same for an entry that has no stream with an event yet: first
-	// events take longer than the ones after them.
+	// FirstEventTimeout is used instead while no stream of the entry has had an event:
+	// first events take longer than later ones.
 	FirstEventTimeout burdockclock.Millis
-	// MinProbeInterval and MostProbe bound the time between two offers that find out
+	// MinProbeInterval and MaxProbeInterval bound the time between two offers that check
 	// whether a closed group has opened.
 	MinProbeInterval burdockclock.Millis
 	MaxProbeInterval burdockclock.Millis
-	// ClosedTTL is how long a group is taken to be closed when no engine refuses any
-	// more: several probes. BelieveStand is the same for one that stood until its last
-	// caller had left, whose engines don't refuse.
+	// ClosedTTL is how long a group counts as closed after the latest refusal. It spans
+	// several probes. StalledClosedTTL is used instead for a group that was stalled when
+	// its last stream ended, as its engines don't refuse.
 	ClosedTTL        burdockclock.Millis
 	StalledClosedTTL burdockclock.Millis
 }
 
 const (
-	defaultStand        burdockclock.Millis = 450
-	defaultStandFirst                       = burdockclock.Second
-	defaultFirstProbe   burdockclock.Millis = 50
-	defaultMostProbe    burdockclock.Millis = 250
-	defaultBelieve                          = burdockclock.Second
-	defaultBelieveStand                     = 6 * burdockclock.Second
-	// refusals is how many engines have to refuse, with no event in between: one
-	// alone may have its own reason.
-	refusals = 2
-	// probeGrowth is the part of the time between two probes by which the next is
-	// longer: one in so many.
-	probeGrowth = 2
+	defaultStallTimeout      burdockclock.Millis = 450
+	defaultFirstEventTimeout                     = burdockclock.Second
+	defaultMinProbeInterval  burdockclock.Millis = 50
+	defaultMaxProbeInterval  burdockclock.Millis = 250
+	defaultClosedTTL                             = burdockclock.Second
+	defaultStalledClosedTTL                      = 6 * burdockclock.Second
+	// minRefusals is the number of engines that have to refuse, without an event in
+	// between, for the group to count as closed. A single engine may have its own reason
+	// to refuse.
+	minRefusals = 2
+	// Each probe interval is longer than the one before by 1/probeGrowthDivisor.
+	probeGrowthDivisor = 2
 )
 
-// View is what one entry knows of a group.
+// View is one entry's view of a group.
 type View struct {
 	cfg     Config
-	begun   int // streams that run and have had an event
-	pending int // offers that have had none
-	// pendingAt is when the first of them was made.
-	pendingAt burdockclock.Millis
-	eventAt   burdockclock.Millis
-	refused   map[burdockid.Upstream]bool // since the last event
-	closed    bool
-	// closedAt is when the group was last found to be closed.
+	started int // open streams that have had an event
+	pending int // offers without an event so far
+	// firstPendingAt is when the number of pending offers last rose from 0.
+	firstPendingAt burdockclock.Millis
+	lastEventAt    burdockclock.Millis
+	refusedBy      map[burdockid.Upstream]bool // engines that refused since the last event
+	closed         bool
+	// closedAt is when the group was last found closed.
 	closedAt burdockclock.Millis
-	// believeUntil is when that is believed no longer unless something shows it anew.
-	believeUntil burdockclock.Millis
-	probeAt      burdockclock.Millis // when the next probe is due
-	wait         burdockclock.Millis // between the last two
-	stood        burdockclock.Millis // until the last event
+	// closedUntil is when the group stops counting as closed unless it is refused again.
+	closedUntil   burdockclock.Millis
+	nextProbeAt   burdockclock.Millis // if the group is closed
+	probeInterval burdockclock.Millis // between the last two probes
+	stoppedTime   burdockclock.Millis // total without steps, up to lastEventAt or closedAt
 }
 
-// New returns a view of a group of which nothing is known.
+// New returns a View of a group about which nothing is known.
 func New(cfg Config) *View {
-	cfg.StallTimeout = cmp.Or(cfg.StallTimeout, defaultStand)
-	cfg.FirstEventTimeout = cmp.Or(cfg.FirstEventTimeout, defaultStandFirst)
-	cfg.MinProbeInterval = cmp.Or(cfg.MinProbeInterval, defaultFirstProbe)
-	cfg.MaxProbeInterval = cmp.Or(cfg.MaxProbeInterval, defaultMostProbe)
-	cfg.ClosedTTL = cmp.Or(cfg.ClosedTTL, defaultBelieve)
-	cfg.StalledClosedTTL = cmp.Or(cfg.StalledClosedTTL, defaultBelieveStand)
-	return &View{cfg: cfg, refused: map[burdockid.Upstream]bool{}}
+	cfg.StallTimeout = cmp.Or(cfg.StallTimeout, defaultStallTimeout)
+	cfg.FirstEventTimeout = cmp.Or(cfg.FirstEventTimeout, defaultFirstEventTimeout)
+	cfg.MinProbeInterval = cmp.Or(cfg.MinProbeInterval, defaultMinProbeInterval)
+	cfg.MaxProbeInterval = cmp.Or(cfg.MaxProbeInterval, defaultMaxProbeInterval)
+	cfg.ClosedTTL = cmp.Or(cfg.ClosedTTL, defaultClosedTTL)
+	cfg.StalledClosedTTL = cmp.Or(cfg.StalledClosedTTL, defaultStalledClosedTTL)
+	return &View{cfg: cfg, refusedBy: map[burdockid.Upstream]bool{}}
 }
 
-// StreamOffered tells of a stream that was offered to an engine.
+// StreamOffered records that a stream was offered to an engine.
 func (v *View) StreamOffered(now burdockclock.Millis) {
 	if v.pending == 0 {
-		v.pendingAt = now
+		v.firstPendingAt = now
 	}
 	v.pending++
 }
 
-// FirstEvent tells of the first event of such a stream.
+// FirstEvent records the first event of an offered stream.
 func (v *View) FirstEvent(now burdockclock.Millis) {
 	v.StreamEvent(now)
 	v.pending = max(v.pending-1, 0)
-	v.begun++
+	v.started++
 }
 
-// StreamEvent tells of an event of a stream.
+// StreamEvent records an event of a stream.
 func (v *View) StreamEvent(now burdockclock.Millis) {
-	v.stood = v.stoodAt(now)
-	v.eventAt = now
+	v.stoppedTime = v.stoppedTimeAt(now)
+	v.lastEventAt = now
 	v.open()
 }
 
-// StreamEnded tells that an offered stream runs no longer, if it had begun or not. A group
-// that stands until the last caller has left is taken to be closed, as no stream is
-// there any more to show that it moves.
-func (v *View) StreamEnded(now burdockclock.Millis, begun bool) {
-	if v.begun+v.pending <= 1 && v.State(now) == Stalled {
+// StreamEnded records that an offered stream ended; started tells whether it had an
+// event. A group that is stalled when its last stream ends counts as closed, because no
+// stream is left to show that it advances.
+func (v *View) StreamEnded(now burdockclock.Millis, started bool) {
+	if v.started+v.pending <= 1 && v.State(now) == Stalled {
 		v.close(now, v.cfg.StalledClosedTTL)
 	}
-	if begun {
-		v.begun = max(v.begun-1, 0)
+	if started {
+		v.started = max(v.started-1, 0)
 	} else {
 		v.pending = max(v.pending-1, 0)
 	}
 }
 
-// EngineAccepted tells that an engine has begun to answer, which those of a group that
-// refused everything don't before it has opened.
+// EngineAccepted records that an engine has started a response. The engines of a group
+// that refused everything don't do so before it has opened.
 func (v *View) EngineAccepted(now burdockclock.Millis) {
-	if v.closed && len(v.refused) >= refusals {
+	if v.closed && len(v.refusedBy) >= minRefusals {
 		v.StreamEvent(now)
 	}
 }
 
-func (v *View) close(now, believe burdockclock.Millis) {
-	v.stood = v.stoodAt(now)
-	v.closed, v.closedAt, v.believeUntil = true, now, now+believe
-	v.schedule(now)
+func (v *View) close(now, ttl burdockclock.Millis) {
+	v.stoppedTime = v.stoppedTimeAt(now)
+	v.closed, v.closedAt, v.closedUntil = true, now, now+ttl
+	v.scheduleProbe(now)
 }
 
 func (v *View) open() {
-	v.closed, v.wait = false, 0
-	clear(v.refused)
+	v.closed, v.probeInterval = false, 0
+	clear(v.refusedBy)
 }
 
-// EngineRefused tells that an engine refused an offer although it has room.
+// EngineRefused records that an engine with room refused an offer.
 func (v *View) EngineRefused(now burdockclock.Millis, u burdockid.Upstream) {
-	v.refused[u] = true
-	v.believeUntil = max(v.believeUntil, now+v.cfg.ClosedTTL)
-	if v.State(now) == Closed || len(v.refused) < refusals || v.begun > 0 && now-v.eventAt < v.cfg.StallTimeout {
+	v.refusedBy[u] = true
+	v.closedUntil = max(v.closedUntil, now+v.cfg.ClosedTTL)
+	if v.State(now) == Closed || len(v.refusedBy) < minRefusals || v.started > 0 && now-v.lastEventAt < v.cfg.StallTimeout {
 		return
 	}
 	v.close(now, v.cfg.ClosedTTL)
@@ -156,14 +157,13 @@
 
 // State returns the group's state.
 //
-// Failure: the offer that would show that a group has opened is lost. Symptom: nothing
-// is started any more, so nothing can show it. What isn't shown anew is believed no
-// longer.
+// A closed state expires: if the offer that would show that the group has opened is lost,
+// nothing new is started, and so nothing else can show it.
 func (v *View) State(now burdockclock.Millis) State {
 	switch {
-	case v.closed && now < v.believeUntil:
+	case v.closed && now < v.closedUntil:
 		return Closed
-	case now >= v.standsAt():
+	case now >= v.stalledAt():
 		return Stalled
 	}
 	return Advancing
@@ -171,57 +171,62 @@
 
 const never burdockclock.Millis = 1 << 62
 
-// standsAt returns from when on the group is taken to stand unless there is an event.
-func (v *View) standsAt() burdockclock.Millis {
+// stalledAt returns the time from which the group counts as stalled if no event comes.
+func (v *View) stalledAt() burdockclock.Millis {
 	switch {
-	case v.begun > 0:
-		return v.eventAt + v.cfg.StallTimeout
+	case v.started > 0:
+		return v.lastEventAt + v.cfg.StallTimeout
 	case v.pending > 0:
-		return max(v.eventAt, v.pendingAt) + v.cfg.FirstEventTimeout
+		return max(v.lastEventAt, v.firstPendingAt) + v.cfg.FirstEventTimeout
 	}
 	return never
 }
 
-// ProbeNow tells that the group is said to have opened, so that it is worth finding out
-// at once.
-func (v *View) ProbeNow(now burdockclock.Millis) { v.probeAt, v.wait = now, 0 }
+// ProbeNow makes a probe due at once, after a report that the group has opened.
+func (v *View) ProbeNow(now burdockclock.Millis) { v.nextProbeAt, v.probeInterval = now, 0 }
 
 // NextProbeAt returns when the next probe of a closed group is due.
-func (v *View) NextProbeAt() burdockclock.Millis { return v.probeAt }
+func (v *View) NextProbeAt() burdockclock.Millis { return v.nextProbeAt }
 
-// TryProbe reports whether an offer may be made to a closed group now, and takes
-// the turn.
+// TryProbe reports whether an offer to a closed group may be made now as a probe. If so,
+// it schedules the next one.
 //
-// Load: hundreds of requests that wait for a group to form. Harm prevented: each
-// offer that is refused counts against the retries that all entries share; one at
-// a time, ever more seldom, is enough to notice the opening.
+// Hundreds of requests may wait for a group to open, and each refused offer is charged to
+// the retry budget that all of them share. One probe at a time, at growing intervals, is
+// enough to notice the opening.
 func (v *View) TryProbe(now burdockclock.Millis) bool {
-	if v.State(now) != Closed || now < v.probeAt {
+	if v.State(now) != Closed || now < v.nextProbeAt {
 		return false
 	}
-	v.schedule(now)
+	v.scheduleProbe(now)
 	return true
 }
 
-func (v *View) schedule(now burdockclock.Millis) {
-	v.wait = min(max(v.cfg.MinProbeInterval, v.wait+v.wait/probeGrowth), v.cfg.MaxProbeInterval)
-	v.probeAt = now + v.wait
+func (v *View) scheduleProbe(now burdockclock.Millis) {
+	v.probeInterval = min(max(v.cfg.MinProbeInterval, v.probeInterval+v.probeInterval/probeGrowthDivisor), v.cfg.MaxProbeInterval)
+	v.nextProbeAt = now + v.probeInterval
 }
 
-// RunningClock returns now less the time in which the group ran no passes: a clock by
-// which what was told of the engines' load ages.
-func (v *View) RunningClock(now burdockclock.Millis) burdockclock.Millis { return now - v.stoodAt(now) }
+// RunningClock returns now less the total time in which the group ran no steps. The age
+// of reported engine load is measured with this clock.
+func (v *View) RunningClock(now burdockclock.Millis) burdockclock.Millis {
+	return now - v.stoppedTimeAt(now)
+}
 
-func (v *View) stoodAt(now burdockclock.Millis) burdockclock.Millis {
+// stoppedTimeAt returns the total time up to now in which the group ran no steps.
+func (v *View) stoppedTimeAt(now burdockclock.Millis) burdockclock.Millis {
 	switch v.State(now) {
 	case Closed:
-		return v.stood + now - v.closedAt
+		return v.stoppedTime + now - v.closedAt
 	case Stalled:
-		return v.stood + now - v.standsAt()
+		return v.stoppedTime + now - v.stalledAt()
 	}
-	return v.stood
+	return v.stoppedTime
 }
 
-// IsStepInterval reports whether the time between two events of a stream is that of a pass.
-// One in which the group stood tells nothing of how many streams it can run.
-func (v *View) IsStepInterval(pause burdockclock.Millis) bool { return pause < v.cfg.StallTimeout }
+// IsStepInterval reports whether the time between two events of a stream is that of a
+// step. An interval in which the group was stalled doesn't show how many streams it can
+// run.
+func (v *View) IsStepInterval(interval burdockclock.Millis) bool {
+	return interval < v.cfg.StallTimeout
+}
--- a/internal/decide/burdocklockstep/lockstep_test.go
+++ b/internal/decide/burdocklockstep/lockstep_test.go
@@ -13,26 +13,26 @@
 	}
 }
 
-// Guards against filling a group that stands: its silence would pass for room.
-func TestSilenceOfAllStreamsIsAStand(t *testing.T) {
+// A stalled group must not be filled with requests: without events it seems to have room.
+func TestNoEventsMeanStalled(t *testing.T) {
 	v := New(Config{StallTimeout: 400})
 	v.FirstEvent(1000)
 	v.StreamEvent(1060)
 	wantState(t, v, 1459, Advancing)
 	wantState(t, v, 1460, Stalled)
 	if got, want := v.RunningClock(3000), burdockclock.Millis(1460); got != want {
-		t.Errorf("clock while the group stands: got %d, want %d", got, want)
+		t.Errorf("clock while the group is stalled: got %d, want %d", got, want)
 	}
 	v.StreamEvent(3060)
 	wantState(t, v, 3060, Advancing)
 	if got, want := v.RunningClock(3160), burdockclock.Millis(1560); got != want {
-		t.Errorf("clock after the stand: got %d, want %d", got, want)
+		t.Errorf("clock after the stall: got %d, want %d", got, want)
 	}
 }
 
-// Guards against an entry that starts while the group stands, and fills it as it has no
-// stream that shows it.
-func TestOffersWithoutAnEventAreAStand(t *testing.T) {
+// An entry that starts while the group is stalled has no stream with an event. It must
+// still notice the stall from its offers, and not fill the group.
+func TestOffersWithoutEventsMeanStalled(t *testing.T) {
 	v := New(Config{FirstEventTimeout: 1000})
 	v.StreamOffered(1000)
 	v.StreamOffered(1500)
@@ -46,8 +46,8 @@
 	wantState(t, v, 3000, Advancing)
 }
 
-// Guards against a stand that is seen where no stream runs.
-func TestWithoutStreamsNothingStands(t *testing.T) {
+// Without open streams, a lack of events is not a stall.
+func TestNotStalledWithoutStreams(t *testing.T) {
 	v := New(Config{StallTimeout: 400})
 	wantState(t, v, 10_000, Advancing)
 	v.FirstEvent(1000)
@@ -55,9 +55,9 @@
 	wantState(t, v, 10_000, Advancing)
 }
 
-// Guards against refusing callers while a group forms: that it is closed has to be
-// known, and that it has opened again too.
-func TestRefusalsOfEnginesWithRoomMeanClosed(t *testing.T) {
+// Callers wait instead of being refused while a group is closed. This needs the closed
+// state to be detected, and the opening too.
+func TestRefusalsDespiteRoomMeanClosed(t *testing.T) {
 	v := New(Config{MinProbeInterval: 50, MaxProbeInterval: 100})
 	v.EngineRefused(1000, "a")
 	wantState(t, v, 1000, Advancing)
@@ -76,17 +76,18 @@
 	}
 	v.ProbeNow(1360)
 	if !v.TryProbe(1360) {
-		t.Error("once the group is said to have opened: got no probe, want one at once")
+		t.Error("after a report that the group has opened: got no probe, want one at once")
 	}
 	v.EngineAccepted(1400)
 	wantState(t, v, 1400, Advancing)
 	if v.TryProbe(1500) {
-		t.Error("a probe of a group that is open: got one, want none")
+		t.Error("probe of an open group: got one, want none")
 	}
 }
 
-// Guards against closing a group for one engine that has its own reason to refuse.
-func TestRefusalsBesideEventsCloseNothing(t *testing.T) {
+// A group that advances is not closed because single engines refuse for reasons of their
+// own.
+func TestRefusalsDoNotCloseAdvancingGroup(t *testing.T) {
 	v := New(Config{StallTimeout: 400})
 	v.FirstEvent(1000)
 	v.EngineRefused(1010, "a")
@@ -99,9 +100,9 @@
 	wantState(t, v, 1610, Closed)
 }
 
-// Guards against filling a group that stands once its last caller has left, and
-// against a head without an event that passes for movement.
-func TestStandWithoutCallersIsClosed(t *testing.T) {
+// A group that was stalled when its last stream ended must not be filled with requests. A
+// response header without an event does not show that the group advances.
+func TestStalledGroupWithoutStreamsIsClosed(t *testing.T) {
 	v := New(Config{StallTimeout: 400})
 	v.FirstEvent(1000)
 	v.StreamEnded(3000, true)
@@ -115,9 +116,9 @@
 	wantState(t, v, 3900, Advancing)
 }
 
-// Guards against an entry that starts nothing for ever because what would show the
-// group's opening got lost.
-func TestClosedIsNotBelievedForEver(t *testing.T) {
+// If the event that would show the group's opening is lost, the closed state has to
+// expire; otherwise the entry never starts a request again.
+func TestClosedStateExpires(t *testing.T) {
 	v := New(Config{ClosedTTL: 1000})
 	v.EngineRefused(1000, "a")
 	v.EngineRefused(1000, "b")
@@ -126,9 +127,9 @@
 	wantState(t, v, 2900, Advancing)
 	v.EngineRefused(3000, "a")
 	wantState(t, v, 3000, Closed)
-	stood := New(Config{StallTimeout: 400, StalledClosedTTL: 6000})
-	stood.FirstEvent(1000)
-	stood.StreamEnded(3000, true)
-	wantState(t, stood, 8900, Closed)
-	wantState(t, stood, 9000, Advancing)
+	stalled := New(Config{StallTimeout: 400, StalledClosedTTL: 6000})
+	stalled.FirstEvent(1000)
+	stalled.StreamEnded(3000, true)
+	wantState(t, stalled, 8900, Closed)
+	wantState(t, stalled, 9000, Advancing)
 }
