--- a/internal/decide/burdockdoubt/doubt.go
+++ b/internal/decide/burdockdoubt/doubt.go
@@ -1,5 +1,5 @@
-// Package burdockdoubt holds which upstreams have failed a request of late, as this
-// entry saw it or others told, so that what may run once only goes elsewhere.
+// Package burdockdoubt tracks which upstreams have recently failed a request, at this
+// entry or at another. Requests that may run only once avoid these suspected upstreams.
 //
 // The package is pure: time is passed in. A Tracker is not safe for concurrent use.
 package burdockdoubt
@@ -13,101 +13,102 @@
 
 // Config holds the limits of a Tracker. A zero field takes its default.
 type Config struct {
-	// SuspicionTTL is how long an upstream is in doubt after a failure: several times what
-	// those requests that may be repeated take to show it again.
+	// SuspicionTTL is how long an upstream is suspected after a failure. It is several
+	// times the time that requests which may be retried need to show whether it still
+	// fails.
 	SuspicionTTL burdockclock.Millis
-	// MinNotifyInterval is the least time between two tellings of one upstream.
+	// MinNotifyInterval is the minimum time between two notifications about one upstream.
 	MinNotifyInterval burdockclock.Millis
-	// MinUnsuspectedShare is the part of all upstreams that has to be left without doubt;
-	// where it isn't, doubt decides nothing.
+	// MinUnsuspectedShare is the share of all upstreams that must not be suspected. If
+	// fewer are left, suspicion is ignored.
 	MinUnsuspectedShare float64
 }
 
 const (
-	defaultSpan                          = 3 * burdockclock.Second
-	defaultTellAgain                     = 2 * burdockclock.Second
-	defaultLeastLeft                     = 1.0 / 3
-	ownPart                              = 2 // one in so many upstreams that fail for one entry show its own fault
-	never            burdockclock.Millis = -1 << 40
+	defaultSuspicionTTL                            = 3 * burdockclock.Second
+	defaultMinNotifyInterval                       = 2 * burdockclock.Second
+	defaultMinUnsuspectedShare                     = 1.0 / 3
+	localFaultDivisor                              = 2 // a failing 1/localFaultDivisor of all upstreams counts as the entry's own fault
+	never                      burdockclock.Millis = -1 << 40
 )
 
-// mark is what is known of one upstream.
-type mark struct {
-	seen burdockclock.Millis // fails for this entry
-	told burdockclock.Millis // fails for others
+// failures holds the times of the latest failures of one upstream.
+type failures struct {
+	localAt  burdockclock.Millis // latest failure seen by this entry
+	remoteAt burdockclock.Millis // latest failure reported by another entry
 }
 
-func (m mark) latest() burdockclock.Millis { return max(m.seen, m.told) }
+func (m failures) latest() burdockclock.Millis { return max(m.localAt, m.remoteAt) }
 
-// Tracker holds the upstreams of one service that are in doubt.
+// Tracker tracks the suspected upstreams of one service.
 type Tracker struct {
-	cfg   Config
-	marks map[burdockid.Upstream]mark
+	cfg        Config
+	byUpstream map[burdockid.Upstream]failures
 }
 
-// New returns an empty ledger.
+// New returns a tracker without suspected upstreams.
 func New(cfg Config) *Tracker {
-	cfg.SuspicionTTL = cmp.Or(cfg.SuspicionTTL, defaultSpan)
-	cfg.MinNotifyInterval = cmp.Or(cfg.MinNotifyInterval, defaultTellAgain)
-	cfg.MinUnsuspectedShare = cmp.Or(cfg.MinUnsuspectedShare, defaultLeastLeft)
-	return &Tracker{cfg: cfg, marks: map[burdockid.Upstream]mark{}}
+	cfg.SuspicionTTL = cmp.Or(cfg.SuspicionTTL, defaultSuspicionTTL)
+	cfg.MinNotifyInterval = cmp.Or(cfg.MinNotifyInterval, defaultMinNotifyInterval)
+	cfg.MinUnsuspectedShare = cmp.Or(cfg.MinUnsuspectedShare, defaultMinUnsuspectedShare)
+	return &Tracker{cfg: cfg, byUpstream: map[burdockid.Upstream]failures{}}
 }
 
-func (l *Tracker) mark(u burdockid.Upstream) mark {
-	if m, ok := l.marks[u]; ok {
+func (t *Tracker) failures(u burdockid.Upstream) failures {
+	if m, ok := t.byUpstream[u]; ok {
 		return m
 	}
-	return mark{seen: never, told: never}
+	return failures{localAt: never, remoteAt: never}
 }
 
-// RecordLocalFailure notes that an upstream failed a request of this entry, one of members in all.
-// It reports whether other entries are to be told.
+// RecordLocalFailure records that an upstream failed a request of this entry. The service
+// has that many members. It reports whether to notify the other entries.
 //
-// Load: many entries, each with few requests for a plain service. Harm prevented:
-// each finds out by failures of its own, when the first would have been enough for
-// all. An entry for which half of all fail doesn't tell: its own VM or link is more
-// likely the cause, and the others would be left without an upstream that is sound.
-func (l *Tracker) RecordLocalFailure(now burdockclock.Millis, u burdockid.Upstream, members int) bool {
-	m := l.mark(u)
-	news := now-m.latest() >= l.cfg.MinNotifyInterval
-	m.seen = now
-	l.marks[u] = m
-	return news && !l.ownFault(now, members)
+// With many entries that each have few requests for a service, every entry would learn of
+// a bad upstream by failures of its own; the notification makes the first failure enough.
+// An entry that sees half of the upstreams fail does not notify: its own VM or link is
+// the likelier cause, and the other entries would lose healthy upstreams.
+func (t *Tracker) RecordLocalFailure(now burdockclock.Millis, u burdockid.Upstream, members int) bool {
+	m := t.failures(u)
+	notify := now-m.latest() >= t.cfg.MinNotifyInterval
+	m.localAt = now
+	t.byUpstream[u] = m
+	return notify && !t.localFault(now, members)
 }
 
-func (l *Tracker) ownFault(now burdockclock.Millis, members int) bool {
+func (t *Tracker) localFault(now burdockclock.Millis, members int) bool {
 	failing := 0
-	for _, m := range l.marks {
-		if now-m.seen < l.cfg.SuspicionTTL {
+	for _, m := range t.byUpstream {
+		if now-m.localAt < t.cfg.SuspicionTTL {
 			failing++
 		}
 	}
-	return failing > 1 && failing*ownPart >= members
+	return failing > 1 && failing*localFaultDivisor >= members
 }
 
-// RecordRemoteFailure notes that an upstream fails for another entry.
-func (l *Tracker) RecordRemoteFailure(now burdockclock.Millis, u burdockid.Upstream) {
-	m := l.mark(u)
-	m.told = now
-	l.marks[u] = m
+// RecordRemoteFailure records that another entry reported a failure of an upstream.
+func (t *Tracker) RecordRemoteFailure(now burdockclock.Millis, u burdockid.Upstream) {
+	m := t.failures(u)
+	m.remoteAt = now
+	t.byUpstream[u] = m
 }
 
-// Suspected returns the upstreams that are in doubt, out of members; none where too
-// few would be left to carry the work.
-func (l *Tracker) Suspected(now burdockclock.Millis, members int) map[burdockid.Upstream]bool {
-	var doubted map[burdockid.Upstream]bool
-	for u, m := range l.marks {
-		if now-m.latest() >= l.cfg.SuspicionTTL {
-			delete(l.marks, u)
+// Suspected returns the suspected upstreams. It returns none if too few of the members
+// would be left to carry the load.
+func (t *Tracker) Suspected(now burdockclock.Millis, members int) map[burdockid.Upstream]bool {
+	var suspected map[burdockid.Upstream]bool
+	for u, m := range t.byUpstream {
+		if now-m.latest() >= t.cfg.SuspicionTTL {
+			delete(t.byUpstream, u)
 			continue
 		}
-		if doubted == nil {
-			doubted = map[burdockid.Upstream]bool{}
+		if suspected == nil {
+			suspected = map[burdockid.Upstream]bool{}
 		}
-		doubted[u] = true
+		suspected[u] = true
 	}
-	if float64(members-len(doubted)) < l.cfg.MinUnsuspectedShare*float64(members) {
+	if float64(members-len(suspected)) < t.cfg.MinUnsuspectedShare*float64(members) {
 		return nil
 	}
-	return doubted
+	return suspected
 }
