--- a/internal/decide/burdocksuspect/digest.go
+++ b/internal/decide/burdocksuspect/digest.go
@@ -9,23 +9,23 @@
 	"github.com/joomcode/errorx"
 )
 
-// Errors is the namespace of the package's errors.
+// Errors is the error namespace of the package.
 var Errors = errorx.NewNamespace("suspect")
 
-// ErrDigest says that a text is no digest.
+// ErrDigest is the type of errors for a malformed digest.
 var ErrDigest = Errors.NewType("digest")
 
-// digestBytes is the length of a digest: enough that two requests of a fleet's
-// life never have the same.
+// digestBytes is the length of a digest. It makes a collision between two requests of a
+// fleet practically impossible.
 const digestBytes = 16
 
-// Digest tells a request from others by what its caller asks for, whatever id the
-// caller gives this attempt.
+// Digest identifies a request by its content, whatever request id its caller uses for
+// this attempt.
 type Digest [digestBytes]byte
 
-// DigestOf returns the digest of a request by its method, its path and query, its
-// customer and its body. The length of each goes in before it, so that no two
-// requests are told apart by where one part ends alone.
+// DigestOf returns the digest of a request's method, path and query, customer and body.
+// Each part is preceded by its length, so that requests whose parts merely split at
+// different positions have different digests.
 func DigestOf(method, target string, customer burdockid.Customer, body []byte) Digest {
 	h := sha256.New()
 	for _, part := range [][]byte{[]byte(method), []byte(target), []byte(customer), body} {
@@ -40,7 +40,7 @@
 // String returns the digest in hexadecimal.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// ParseDigest reads what String wrote.
+// ParseDigest parses the result of String.
 func ParseDigest(s string) (Digest, error) {
 	var d Digest
 	b, err := hex.DecodeString(s)
--- a/internal/decide/burdocksuspect/suspect.go
+++ b/internal/decide/burdocksuspect/suspect.go
@@ -1,5 +1,5 @@
-// Package burdocksuspect finds the requests that crash whatever upstream runs
-// them, from which requests ran at upstreams that crashed.
+// Package burdocksuspect finds requests that crash every upstream that runs them, by
+// recording which requests were running at upstreams that crashed.
 //
 // The package is pure: time is passed in. A Tracker is not safe for concurrent use.
 package burdocksuspect
@@ -12,90 +12,90 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// Crash says that a request ran at an upstream as that crashed.
+// Crash records that a request was running at an upstream when the upstream crashed.
 type Crash struct {
 	Request  Digest
-	Upstream burdockid.Upstream // one run of it: a restarted one has another name
+	Upstream burdockid.Upstream // a restarted upstream has another name
 	At       burdockclock.Millis
 }
 
 // Config holds the limits of a Tracker. A zero field takes its default.
 type Config struct {
-	// TTL is how long after the latest crash a request is kept from upstreams.
+	// TTL is how long after its latest crash a request is remembered, and stays in
+	// quarantine.
 	TTL burdockclock.Millis
-	// CorrelationWindow is how close to each other crashes of two upstreams are that may have
-	// one cause.
+	// CorrelationWindow is the time within which crashes of two upstreams may have a
+	// common cause.
 	CorrelationWindow burdockclock.Millis
-	// MaxRequests bounds the number of requests that are remembered.
+	// MaxRequests bounds the number of requests whose crashes are recorded.
 	MaxRequests int
 }
 
 const (
-	defaultMemory                       = 5 * burdockclock.Minute
-	defaultTogether burdockclock.Millis = 500
-	defaultMost                         = 4096
-	// loneCrashes of upstreams that crashed by themselves, or anyCrashes at all,
-	// make a request a culprit.
-	loneCrashes = 2
-	anyCrashes  = 3
+	defaultTTL                                   = 5 * burdockclock.Minute
+	defaultCorrelationWindow burdockclock.Millis = 500
+	defaultMaxRequests                           = 4096
+	// A request is quarantined after minIsolatedCrashes crashes without a common cause,
+	// or after minCrashes crashes of any kind.
+	minIsolatedCrashes = 2
+	minCrashes         = 3
 )
 
-// Tracker holds the crashes that are known.
+// Tracker tracks recent crashes and the requests involved.
 type Tracker struct {
 	cfg     Config
 	crashes map[Digest][]Crash
-	// upstreams holds when each upstream crashed.
-	upstreams map[burdockid.Upstream]burdockclock.Millis
-	forgetAt  burdockclock.Millis
+	// crashedAt is the earliest known time of each upstream's crash.
+	crashedAt    map[burdockid.Upstream]burdockclock.Millis
+	nextExpiryAt burdockclock.Millis
 }
 
-// forgetEvery is how often what is too old is dropped.
-const forgetEvery = burdockclock.Second
+// expiryInterval is the time between two removals of expired crashes.
+const expiryInterval = burdockclock.Second
 
-// New returns an empty ledger.
+// New returns a tracker without crashes.
 func New(cfg Config) *Tracker {
-	cfg.TTL = cmp.Or(cfg.TTL, defaultMemory)
-	cfg.CorrelationWindow = cmp.Or(cfg.CorrelationWindow, defaultTogether)
-	cfg.MaxRequests = cmp.Or(cfg.MaxRequests, defaultMost)
-	return &Tracker{cfg: cfg, crashes: map[Digest][]Crash{}, upstreams: map[burdockid.Upstream]burdockclock.Millis{}}
+	cfg.TTL = cmp.Or(cfg.TTL, defaultTTL)
+	cfg.CorrelationWindow = cmp.Or(cfg.CorrelationWindow, defaultCorrelationWindow)
+	cfg.MaxRequests = cmp.Or(cfg.MaxRequests, defaultMaxRequests)
+	return &Tracker{cfg: cfg, crashes: map[Digest][]Crash{}, crashedAt: map[burdockid.Upstream]burdockclock.Millis{}}
 }
 
-// Add takes in a crash, and reports whether it is news. One that is told from the
-// future counts as of now.
-func (l *Tracker) Add(now burdockclock.Millis, c Crash) bool {
-	l.forget(now)
+// Add records a crash and reports whether it is new. A time in the future counts as now.
+func (t *Tracker) Add(now burdockclock.Millis, c Crash) bool {
+	t.expire(now)
 	c.At = min(c.At, now)
-	if now-c.At > l.cfg.TTL || l.knows(c) {
+	if now-c.At > t.cfg.TTL || t.has(c) {
 		return false
 	}
-	if len(l.crashes[c.Request]) == 0 && len(l.crashes) >= l.cfg.MaxRequests {
+	if len(t.crashes[c.Request]) == 0 && len(t.crashes) >= t.cfg.MaxRequests {
 		return false
 	}
-	l.crashes[c.Request] = append(l.crashes[c.Request], c)
-	if at, known := l.upstreams[c.Upstream]; !known || c.At < at {
-		l.upstreams[c.Upstream] = c.At
+	t.crashes[c.Request] = append(t.crashes[c.Request], c)
+	if at, known := t.crashedAt[c.Upstream]; !known || c.At < at {
+		t.crashedAt[c.Upstream] = c.At
 	}
 	return true
 }
 
-func (l *Tracker) knows(c Crash) bool {
-	return slices.ContainsFunc(l.crashes[c.Request], func(k Crash) bool { return k.Upstream == c.Upstream })
+func (t *Tracker) has(c Crash) bool {
+	return slices.ContainsFunc(t.crashes[c.Request], func(other Crash) bool { return other.Upstream == c.Upstream })
 }
 
-// forget drops what is older than the memory.
-func (l *Tracker) forget(now burdockclock.Millis) {
-	if now < l.forgetAt {
+// expire removes crashes that are older than the TTL.
+func (t *Tracker) expire(now burdockclock.Millis) {
+	if now < t.nextExpiryAt {
 		return
 	}
-	l.forgetAt = now + forgetEvery
-	for d, crashes := range l.crashes {
-		if now-latest(crashes) > l.cfg.TTL {
-			delete(l.crashes, d)
+	t.nextExpiryAt = now + expiryInterval
+	for d, crashes := range t.crashes {
+		if now-latest(crashes) > t.cfg.TTL {
+			delete(t.crashes, d)
 		}
 	}
-	for u, at := range l.upstreams {
-		if now-at > l.cfg.TTL {
-			delete(l.upstreams, u)
+	for u, at := range t.crashedAt {
+		if now-at > t.cfg.TTL {
+			delete(t.crashedAt, u)
 		}
 	}
 }
@@ -108,63 +108,67 @@
 	return at
 }
 
-// Empty reports whether no crash is known, so that no request need be looked up.
-func (l *Tracker) Empty() bool { return len(l.crashes) == 0 }
+// Empty reports whether no crash is recorded, so callers need not compute a digest.
+func (t *Tracker) Empty() bool { return len(t.crashes) == 0 }
 
-// QuarantineRemaining returns how much longer a request is kept from upstreams; 0 if it
-// isn't.
+// QuarantineRemaining returns how much longer a request is quarantined, that is, kept
+// from upstreams; 0 if it is not.
 //
-// Load: a request that crashes whatever runs it and comes again at any entry,
-// beside sound ones of which up to all slots of an upstream die with it. Harm
-// prevented: each of its returns costs two upstreams, and in a lock-stepped group
-// the streams of all ranks. Two crashes that nothing else explains are enough,
-// since a sound request hardly meets two; where several upstreams crash at a time,
-// as by a fault of their own, a sound one may, and a third is needed.
-func (l *Tracker) QuarantineRemaining(now burdockclock.Millis, d Digest) burdockclock.Millis {
-	crashes := l.crashes[d]
-	lone := 0
+// A request that crashes its upstream may be retried through any entry, and each time it
+// crashes up to two more upstreams; in a lock-step group this ends the streams of all
+// ranks. Healthy requests that share an upstream with it crash too, as many as the
+// upstream has slots.
+//
+// Two isolated crashes are enough for quarantine, because a healthy request hardly meets
+// two. When several upstreams crash together, for instance because of a fault of their
+// own, a healthy request may meet two crashes, so a third is needed.
+func (t *Tracker) QuarantineRemaining(now burdockclock.Millis, d Digest) burdockclock.Millis {
+	crashes := t.crashes[d]
+	isolated := 0
 	for _, c := range crashes {
-		if l.lone(c, crashes) {
-			lone++
+		if t.isolated(c, crashes) {
+			isolated++
 		}
 	}
-	if lone < loneCrashes && len(crashes) < anyCrashes {
+	if isolated < minIsolatedCrashes && len(crashes) < minCrashes {
 		return 0
 	}
-	return max(latest(crashes)+l.cfg.TTL-now, 0)
+	return max(latest(crashes)+t.cfg.TTL-now, 0)
 }
 
-// lone reports whether no other upstream crashed about when that of c did, but
-// those at which the same request ran.
-func (l *Tracker) lone(c Crash, own []Crash) bool {
-	for u, at := range l.upstreams {
-		near := max(at-c.At, c.At-at) <= l.cfg.CorrelationWindow
-		if near && !slices.ContainsFunc(own, func(k Crash) bool { return k.Upstream == u }) {
+// isolated reports whether c has no common cause with crashes elsewhere: within the
+// correlation window, only upstreams that ran the same request crashed.
+func (t *Tracker) isolated(c Crash, sameRequest []Crash) bool {
+	for u, at := range t.crashedAt {
+		correlated := max(at-c.At, c.At-at) <= t.cfg.CorrelationWindow
+		if correlated && !slices.ContainsFunc(sameRequest, func(other Crash) bool { return other.Upstream == u }) {
 			return false
 		}
 	}
 	return true
 }
 
-// CrashingRequest is a request that is remembered.
+// CrashingRequest is a request that was running at an upstream when the upstream
+// crashed.
 type CrashingRequest struct {
 	Digest           Digest               `json:"-"`
 	DigestText       string               `json:"request"`
-	CrashedUpstreams []burdockid.Upstream `json:"crashes"` // upstreams, the first crash first
-	// QuarantineRemainingMillis is how much longer it is kept from upstreams; 0 if it isn't.
+	CrashedUpstreams []burdockid.Upstream `json:"crashes"` // in the order of their crashes
+	// QuarantineRemainingMillis is how much longer the request is quarantined; 0 if it is
+	// not.
 	QuarantineRemainingMillis burdockclock.Millis `json:"leftMillis"`
 }
 
-// CrashingRequests returns the requests that are remembered, those that crashed most first.
-func (l *Tracker) CrashingRequests(now burdockclock.Millis) []CrashingRequest {
+// CrashingRequests returns the recorded requests, those with the most crashes first.
+func (t *Tracker) CrashingRequests(now burdockclock.Millis) []CrashingRequest {
 	var all []CrashingRequest
-	for d, crashes := range l.crashes {
-		s := CrashingRequest{Digest: d, DigestText: d.String(), QuarantineRemainingMillis: l.QuarantineRemaining(now, d)}
+	for d, crashes := range t.crashes {
+		request := CrashingRequest{Digest: d, DigestText: d.String(), QuarantineRemainingMillis: t.QuarantineRemaining(now, d)}
 		ordered := slices.SortedFunc(slices.Values(crashes), func(a, b Crash) int { return cmp.Compare(a.At, b.At) })
 		for _, c := range ordered {
-			s.CrashedUpstreams = append(s.CrashedUpstreams, c.Upstream)
+			request.CrashedUpstreams = append(request.CrashedUpstreams, c.Upstream)
 		}
-		all = append(all, s)
+		all = append(all, request)
 	}
 	slices.SortFunc(all, func(a, b CrashingRequest) int {
 		return cmp.Or(cmp.Compare(len(b.CrashedUpstreams), len(a.CrashedUpstreams)), cmp.Compare(a.DigestText, b.DigestText))
