--- a/internal/decide/burdockspeed/relative.go
+++ b/internal/decide/burdockspeed/relative.go
@@ -2,12 +2,11 @@
 
 import "slices"
 
-// RelativeToMedian returns the speeds against the median of all, none above Baseline.
+// RelativeToMedian returns the speeds relative to their median, none above Baseline.
 //
-// Load: engines of one group that all turn slow together. Harm prevented: if
-// each were judged by what is usual, none would be left to place requests on. A
-// group that is slow as a whole is even; its bound on running requests follows
-// from the pauses that are seen.
+// When all engines of a group turn slow together, comparing each to the baseline would
+// leave none to place requests on. A group that is slow as a whole is balanced; the limit
+// on its running requests follows from its measured step intervals.
 func RelativeToMedian(speeds []Speed) []Speed {
 	if len(speeds) == 0 {
 		return nil
--- a/internal/decide/burdockspeed/speed.go
+++ b/internal/decide/burdockspeed/speed.go
@@ -1,5 +1,5 @@
-// Package burdockspeed says how fast the engines of a lock-stepped group are
-// against what is usual, and how much work an engine that is slower should get.
+// Package burdockspeed expresses how fast the engines of a lock-step group are, relative
+// to a baseline, and which share of requests a slow engine should get.
 //
 // The package is pure: no clock, no input or output.
 package burdockspeed
@@ -9,84 +9,83 @@
 	"math"
 )
 
-// Speed is how fast an engine works: 1 is usual, 0.5 takes twice the time for
-// the same work.
+// Speed is the speed of an engine relative to the baseline: at 0.5 the same work takes
+// twice the time.
 type Speed float64
 
-// Baseline is the speed of an engine of which nothing else is known.
+// Baseline is the speed of an engine about which nothing else is known.
 const Baseline Speed = 1
 
 const (
-	// mostSlowdown bounds what is believed of an engine. One that takes a hundred
-	// times as long stalls its group whatever is placed on it, so a larger figure
-	// says no more, or is a fault of the measurement.
-	mostSlowdown = 100
-	// leastSlowdown is the reverse, for an engine that says it is faster.
-	leastSlowdown = 1.0 / mostSlowdown
-	// notable is the ratio of two speeds from which on the difference is worth
-	// acting on. A map is planned within a few per cent of even, so a speed that
-	// differs by less changes no map.
-	notable = 1.1
+	// maxSlowdown is the largest accepted slowdown. An engine that takes a hundred times
+	// as long stalls its group whatever is placed on it. A larger figure adds no
+	// information, or is a measurement error.
+	maxSlowdown = 100
+	// minSlowdown is the corresponding limit for an engine that is faster than the
+	// baseline.
+	minSlowdown = 1.0 / maxSlowdown
+	// significantRatio is the ratio of two speeds from which a difference counts. Expert
+	// maps are balanced to within a few per cent, so a smaller difference changes no map.
+	significantRatio = 1.1
 )
 
-// FromSlowdown returns the speed of an engine that takes so many times as long
-// as usual. It reports false for a figure that no engine can mean: 0, below 0,
-// not a number, or out of all proportion.
-func FromSlowdown(times float64) (Speed, bool) {
-	if !(times >= leastSlowdown && times <= mostSlowdown) {
+// FromSlowdown returns the speed of an engine that takes slowdown times as long as the
+// baseline. It returns false for an impossible figure: zero, negative, not a number or
+// out of range.
+func FromSlowdown(slowdown float64) (Speed, bool) {
+	if !(slowdown >= minSlowdown && slowdown <= maxSlowdown) {
 		return Baseline, false
 	}
-	return Speed(1 / times), true
+	return Speed(1 / slowdown), true
 }
 
-// SignificantChange reports whether an engine's speed has changed so much that others
-// should hear of it.
+// SignificantChange reports whether an engine's speed has changed enough to notify
+// others.
 func SignificantChange(before, now Speed) bool {
-	return before != now && (before >= now*notable || now >= before*notable)
+	return before != now && (before >= now*significantRatio || now >= before*significantRatio)
 }
 
-// IsSlow reports whether an engine is notably slower than usual; one whose speed is
-// not known, 0, is not.
+// IsSlow reports whether an engine is significantly slower than the baseline. An unknown
+// speed, 0, is not slow.
 func IsSlow(s Speed) bool { return s > 0 && s < Baseline && SignificantChange(Baseline, s) }
 
-// StepCost is what the operators publish of an engine's work in one step.
+// StepCost is the cost of one step of an engine, as published by the operators.
 type StepCost struct {
-	// BaseStepMillis is the part of a step that doesn't depend on what runs.
+	// BaseStepMillis is the part of a step that does not depend on the running requests.
 	BaseStepMillis float64
-	// StepMillisPerRequest is the part for each request that runs.
+	// StepMillisPerRequest is the part for each running request.
 	StepMillisPerRequest float64
-	// ExpertShare is the part of SequenceMillis that the group's experts do,
-	// wherever they are held; the rest is the engine's own.
+	// ExpertShare is the share of StepMillisPerRequest that the group's experts take, on
+	// whichever rank; the engine itself takes the rest.
 	ExpertShare float64
-	// TypicalRequests is how many requests an engine usually runs at a time.
+	// TypicalRequests is the typical number of running requests of an engine.
 	TypicalRequests float64
 }
 
-// leastWeight keeps a slow engine in reach: when no other may be chosen, an
-// answer that is late is better than none.
-const leastWeight = 0.01
+// minWeight keeps a slow engine selectable: if no other can be chosen, a late response is
+// better than none.
+const minWeight = 0.01
 
-// Weight returns the part of the usual requests that an engine should get, from
-// leastWeight to 1, if its peers are of usual speed.
+// Weight returns the share of the typical requests that an engine should get, from
+// minWeight to 1, if its peers run at the baseline speed.
 //
-// Load: a group in lock-step, one of whose engines has turned slow for some
-// seconds. Harm prevented: all ranks wait for the slowest one's own part of a
-// pass, which is its fixed part and what its own requests add, over its speed;
-// so the requests of one slow engine make those of the whole group late. The
-// engine gets as many as leave its own part as long as that of its peers, which
-// is none as soon as its fixed part alone is longer. With the figures of a group
-// that runs seven requests at each engine that is so from a slowdown of 1.2 on.
-func (w StepCost) Weight(s Speed) float64 {
+// In a lock-step group, all ranks wait for the slowest one. A rank's local part of a step
+// is its base time plus the time for its own requests, divided by its speed. So the
+// requests of one engine that turns slow for some seconds delay those of the whole group.
+// The engine gets as many requests as keep its local part as short as that of its peers,
+// and none once its base time alone is longer. For a group with seven requests per
+// engine, that is so from a slowdown of 1.2.
+func (c StepCost) Weight(s Speed) float64 {
 	if s >= Baseline {
 		return 1
 	}
-	own := w.StepMillisPerRequest * (1 - w.ExpertShare) * w.TypicalRequests
-	if !(own > 0) || math.IsInf(own, 0) {
-		return leastWeight
+	localRequestMillis := c.StepMillisPerRequest * (1 - c.ExpertShare) * c.TypicalRequests
+	if !(localRequestMillis > 0) || math.IsInf(localRequestMillis, 0) {
+		return minWeight
 	}
-	weight := float64(s) - w.BaseStepMillis/own*(1-float64(s))
-	return math.Max(leastWeight, weight)
+	weight := float64(s) - c.BaseStepMillis/localRequestMillis*(1-float64(s))
+	return math.Max(minWeight, weight)
 }
 
-// String returns the speed as logs show it.
+// String returns the speed as shown in logs.
 func (s Speed) String() string { return fmt.Sprintf("%.2f", float64(s)) }
--- a/internal/decide/burdockspeed/speed_test.go
+++ b/internal/decide/burdockspeed/speed_test.go
@@ -7,9 +7,9 @@
 
 func TestFromSlowdown(t *testing.T) {
 	for _, c := range []struct {
-		times float64
-		want  Speed
-		known bool
+		slowdown float64
+		want     Speed
+		known    bool
 	}{
 		{1, 1, true},
 		{2.8, 1 / 2.8, true},
@@ -21,14 +21,14 @@
 		{math.NaN(), Baseline, false},
 		{math.Inf(1), Baseline, false},
 	} {
-		got, known := FromSlowdown(c.times)
+		got, known := FromSlowdown(c.slowdown)
 		if got != c.want || known != c.known {
-			t.Errorf("FromSlowdown(%g): got %v, %t; want %v, %t", c.times, got, known, c.want, c.known)
+			t.Errorf("FromSlowdown(%g): got %v, %t; want %v, %t", c.slowdown, got, known, c.want, c.known)
 		}
 	}
 }
 
-func TestSmallChangesAreNotNotable(t *testing.T) {
+func TestSmallChangesAreNotSignificant(t *testing.T) {
 	for _, c := range []struct {
 		before, now Speed
 		want        bool
@@ -41,48 +41,48 @@
 	}
 }
 
-// spa is the published work of engines that run seven requests at a time.
-var spa = StepCost{BaseStepMillis: 4.55, StepMillisPerRequest: 0.92, ExpertShare: 0.85, TypicalRequests: 7}
+// spaCost is the published cost of engines that run seven requests at a time.
+var spaCost = StepCost{BaseStepMillis: 4.55, StepMillisPerRequest: 0.92, ExpertShare: 0.85, TypicalRequests: 7}
 
-func TestWeightFallsToTheLeastWithTheSpeed(t *testing.T) {
+func TestWeightFallsToMinimumWithSpeed(t *testing.T) {
 	last := 2.0
 	for _, s := range []Speed{2, 1, 0.95, 0.9, 0.85} {
-		got := spa.Weight(s)
-		if got > last || got < leastWeight || got > 1 {
-			t.Errorf("Weight(%v): got %g after %g, want no more, and from %g to 1", s, got, last, leastWeight)
+		got := spaCost.Weight(s)
+		if got > last || got < minWeight || got > 1 {
+			t.Errorf("Weight(%v): got %g after %g, want at most that, and from %g to 1", s, got, last, minWeight)
 		}
 		last = got
 	}
 	for _, s := range []Speed{0.8, 0.36, 0.01} {
-		if got := spa.Weight(s); got != leastWeight {
-			t.Errorf("Weight(%v): got %g, want %g", s, got, leastWeight)
+		if got := spaCost.Weight(s); got != minWeight {
+			t.Errorf("Weight(%v): got %g, want %g", s, got, minWeight)
 		}
 	}
 }
 
-// The requests that a weight leaves at a slow engine don't make its own part of
-// a pass longer than that of its peers.
-func TestWeightKeepsTheOwnPartOfAPass(t *testing.T) {
-	own := func(s Speed, requests float64) float64 {
-		return (spa.BaseStepMillis + spa.StepMillisPerRequest*(1-spa.ExpertShare)*requests) / float64(s)
+// The requests that the weight leaves on a slow engine must not make its local part of a
+// step longer than that of its peers.
+func TestWeightBoundsLocalPartOfStep(t *testing.T) {
+	localMillis := func(s Speed, requests float64) float64 {
+		return (spaCost.BaseStepMillis + spaCost.StepMillisPerRequest*(1-spaCost.ExpertShare)*requests) / float64(s)
 	}
 	for _, s := range []Speed{0.99, 0.95, 0.9, 0.85} {
-		weight := spa.Weight(s)
-		if weight == leastWeight {
+		weight := spaCost.Weight(s)
+		if weight == minWeight {
 			continue
 		}
-		if got, want := own(s, weight*spa.TypicalRequests), own(Baseline, spa.TypicalRequests); got > want*1.0001 {
-			t.Errorf("own part at speed %v: got %.3f ms, want at most %.3f", s, got, want)
+		if got, want := localMillis(s, weight*spaCost.TypicalRequests), localMillis(Baseline, spaCost.TypicalRequests); got > want*1.0001 {
+			t.Errorf("local part at speed %v: got %.3f ms, want at most %.3f", s, got, want)
 		}
 	}
 }
 
-func TestUnknownWorkGivesASlowEngineTheLeast(t *testing.T) {
-	if got := (StepCost{}).Weight(0.9); got != leastWeight {
-		t.Errorf("got %g, want %g", got, leastWeight)
+func TestUnknownCostGivesSlowEngineMinWeight(t *testing.T) {
+	if got := (StepCost{}).Weight(0.9); got != minWeight {
+		t.Errorf("got %g, want %g", got, minWeight)
 	}
 	if got := (StepCost{}).Weight(Baseline); got != 1 {
-		t.Errorf("at the usual speed: got %g, want 1", got)
+		t.Errorf("at the baseline speed: got %g, want 1", got)
 	}
 }
 
