--- a/internal/decide/burdockeject/config.go
+++ b/internal/decide/burdockeject/config.go
@@ -22,10 +22,12 @@
 	// MaxScore bounds the score of one response, so that a single one never ejects.
 	MaxScore float64
 	// FailureCap is the largest share of the members' total weight that may be removed
-	// because of failures. The fault may lie in this entry's own network, in which case
-	// all upstreams seem to fail; some must stay in use for the entry to notice when its
-	// network recovers. The cap has to allow for the loss of two regions out of three,
-	// which is what an entry sees that is cut off from them.
+	// because of failures. Weight removed because of slowness counts towards it.
+	//
+	// The fault may lie in this entry's own network, in which case all upstreams seem to
+	// fail; some must stay in use for the entry to notice when its network recovers. The
+	// cap has to allow for the loss of two regions out of three, which is what an entry
+	// sees that is cut off from them.
 	FailureCap float64
 	// SlowCap is the largest share of the total weight that may be removed because of
 	// slowness. It is smaller than FailureCap: a slow upstream still responds, and the
--- a/internal/decide/burdockeject/eject.go
+++ b/internal/decide/burdockeject/eject.go
@@ -29,7 +29,7 @@
 type Completed struct {
 	// Duration is the processing time, without the time in a queue.
 	Duration burdockclock.Millis
-	// Cost is the size of the request.
+	// Cost is the size of the request. Durations are compared per unit of it.
 	Cost burdockid.Tokens
 	// Samples is the number of requests that Duration and Cost are the mean of: 1 for a
 	// request of this entry, more where the upstream's agent reports the mean of its own
--- a/internal/decide/burdockeject/judge.go
+++ b/internal/decide/burdockeject/observe.go
@@ -40,8 +40,8 @@
 	return t.observeActive(now, r, score, cause)
 }
 
-// isRelevant reports whether o says anything about r. Being reachable says nothing about
-// speed, so a started response is ignored for a slow upstream. A probe without a request
+// isRelevant reports whether o is evidence for or against r. A started response says
+// nothing about speed, so it is ignored for a slow upstream. A probe without a request
 // can show no more than that, so its success lets an upstream that was ejected for
 // slowness back on trial at a quarter of its load.
 func isRelevant(o Observation, r *record) bool {
