--- a/internal/group/burdockgroup/change.go
+++ b/internal/group/burdockgroup/change.go
@@ -42,7 +42,7 @@
 // restTime returns the time between two readings of the group.
 func (c *Controller) restTime() burdockclock.Millis {
 	if c.passing && !c.contrary {
-		return cmp.Or(c.cfg.PassPoll, c.cfg.Retry)
+		return cmp.Or(c.cfg.SwitchPoll, c.cfg.Retry)
 	}
 	return c.cfg.Poll
 }
@@ -111,7 +111,7 @@
 	}
 	for i, m := range c.members {
 		if m.status.Failed == c.target && m.order == nil {
-			c.emit(MapRefused{Map: c.target, Rank: burdockid.Rank(i)})
+			c.emit(MapLoadFailed{Map: c.target, Rank: burdockid.Rank(i)})
 			c.wanted, c.target = nil, 0
 			return c.fire(controllerGiveUp, "a rank could not load it")
 		}
@@ -174,7 +174,7 @@
 // overdue reports whether some rank has not answered for too long that it is
 // armed.
 func (c *Controller) overdue() bool {
-	return c.cfg.ArmPatience > 0 && c.now-c.since > c.armPatience()
+	return c.cfg.ArmTimeout > 0 && c.now-c.since > c.armPatience()
 }
 
 // letGo takes the change back at the ranks that answer.
@@ -198,7 +198,7 @@
 // that were armed in time and is then taken back; one after the other would keep
 // the group standing for a change that never comes.
 func (c *Controller) pauseChanges() {
-	if c.lead >= c.cfg.MaxLead {
+	if c.lead >= c.cfg.MaxSwitchLead {
 		c.changeAt = c.now + c.cfg.Poll
 	}
 }
@@ -207,7 +207,7 @@
 	if !c.drive() {
 		return c.stuck() && c.enter(GoalWithdraw, controllerStuck)
 	}
-	if c.cfg.ShortLead && c.timed && !c.grown {
+	if c.cfg.MinimizeLead && c.timed && !c.grown {
 		c.trimLead()
 	}
 	return c.enter(GoalRelease, controllerAllCommitted)
--- a/internal/group/burdockgroup/controller.go
+++ b/internal/group/burdockgroup/controller.go
@@ -12,10 +12,10 @@
 	// Retry is the time after which an unanswered order is sent again. It is
 	// a few round trips: shorter doubles the messages on a slow link.
 	Retry burdockclock.Millis
-	// LeastRetry, if set, has the time before an order is sent again follow what
-	// rounds have taken, between LeastRetry and Retry; the lead of a change follows
+	// MinRetry, if set, has the time before an order is sent again follow what
+	// rounds have taken, between MinRetry and Retry; the lead of a change follows
 	// them too.
-	LeastRetry burdockclock.Millis
+	MinRetry burdockclock.Millis
 	// LoadRetry is the time for orders to load, which may be answered when the load
 	// has ended; 0 takes that of the others.
 	LoadRetry burdockclock.Millis
@@ -23,37 +23,37 @@
 	// map. Loads take seconds; each question to 32 ranks costs as much as a
 	// round of the change itself.
 	LoadPoll burdockclock.Millis
-	// PassPoll is the time between two readings of a group whose ranks have yet
+	// SwitchPoll is the time between two readings of a group whose ranks have yet
 	// to reach the step of a change; 0 takes Retry.
-	PassPoll burdockclock.Millis
+	SwitchPoll burdockclock.Millis
 	// Poll is the time between two readings of a group at rest. Ranks that
 	// wait say so themselves, so it only has to find what nobody noticed, and
 	// its messages count against the agent's control traffic.
 	Poll burdockclock.Millis
-	// Lead is how many steps ahead of the ranks the step of a change is set.
+	// SwitchLead is how many steps ahead of the ranks the step of a change is set.
 	// The change is free if its three rounds end before that step; each step
 	// of lead too few holds the group for a step. It doubles when it proved
 	// too small, up to MaxLead, which bounds how late a change takes hold.
-	Lead    burdockid.Step
-	MaxLead burdockid.Step
-	// ShortLead keeps the lead as short as it can be: it doubles only when a
+	SwitchLead    burdockid.Step
+	MaxSwitchLead burdockid.Step
+	// MinimizeLead keeps the lead as short as it can be: it doubles only when a
 	// rank had begun the step of the change, not when ranks reach it before the
 	// rounds end, and falls again by the steps that a change had left over. It is
 	// for groups whose steps last longer than a round and whose map is late with
 	// each of them. Elsewhere a lead that is kept holds the group less often: on
 	// a network with a long tail of delays and with steps of 4.5 ms, 0.2 steps
 	// are lost for each change in place of 2.4.
-	ShortLead bool
-	// ArmPatience is how long a rank may take to answer that it is armed; 0 is no
+	MinimizeLead bool
+	// ArmTimeout is how long a rank may take to answer that it is armed; 0 is no
 	// bound. Beyond it the others are let go.
-	ArmPatience burdockclock.Millis
+	ArmTimeout burdockclock.Millis
 	// ArmBudget is the rest of the lease that a controller must have to arm.
 	// A lease that lapses while ranks are armed holds the group until there is
 	// a next controller, which during an outage of the store can't be.
 	ArmBudget burdockclock.Millis
-	// MostArmBudget, if set, has the budget follow what rounds have taken, between
+	// MaxArmBudget, if set, has the budget follow what rounds have taken, between
 	// ArmBudget and this.
-	MostArmBudget burdockclock.Millis
+	MaxArmBudget burdockclock.Millis
 }
 
 const controllerEvents = 32
@@ -96,7 +96,7 @@
 		cfg:      cfg,
 		machine:  controllerChart.Start(),
 		journal:  burdockchart.NewJournal(controllerEvents),
-		lead:     cfg.Lead,
+		lead:     cfg.SwitchLead,
 		members:  make([]member, cfg.Ranks),
 		contents: map[burdockid.MapVersion][]byte{},
 	}
--- a/internal/group/burdockgroup/controllerio.go
+++ b/internal/group/burdockgroup/controllerio.go
@@ -35,7 +35,7 @@
 	Content []byte
 }
 
-// RankWaiting passes on a rank's SayWaiting.
+// RankWaiting passes on a rank's NotifyWaiting.
 type RankWaiting struct{ From burdockid.Rank }
 
 // ControllerTick lets the controller look at the time. It is due every
@@ -60,8 +60,8 @@
 type SendOrder struct {
 	Order    Order
 	NotAfter burdockclock.Millis
-	// Again says that the order was sent before and not answered.
-	Again bool
+	// Resend says that the order was sent before and not answered.
+	Resend bool
 }
 
 // NeedMap asks for the content of a map that no agent has kept. Map 0 stands
@@ -71,8 +71,8 @@
 // MapInForce says that all ranks use a map.
 type MapInForce struct{ Map burdockid.MapVersion }
 
-// MapRefused says that a rank could not load the wanted map, which is given up.
-type MapRefused struct {
+// MapLoadFailed says that a rank could not load the wanted map, which is given up.
+type MapLoadFailed struct {
 	Map  burdockid.MapVersion
 	Rank burdockid.Rank
 }
@@ -80,16 +80,16 @@
 // SteppedDown says that the controller no longer acts under its lease.
 type SteppedDown struct{ Reason StepDown }
 
-// SplitSeen says that ranks reported different maps for one step, or that
+// SplitDetected says that ranks reported different maps for one step, or that
 // their statuses don't fit together. Split is nil in the second case.
-type SplitSeen struct{ Split *Split }
-
-func (SendOrder) controllerOutput()   {}
-func (NeedMap) controllerOutput()     {}
-func (MapInForce) controllerOutput()  {}
-func (MapRefused) controllerOutput()  {}
-func (SteppedDown) controllerOutput() {}
-func (SplitSeen) controllerOutput()   {}
+type SplitDetected struct{ Split *Split }
+
+func (SendOrder) controllerOutput()     {}
+func (NeedMap) controllerOutput()       {}
+func (MapInForce) controllerOutput()    {}
+func (MapLoadFailed) controllerOutput() {}
+func (SteppedDown) controllerOutput()   {}
+func (SplitDetected) controllerOutput() {}
 
 // StepDown says why a controller stopped acting.
 type StepDown string
--- a/internal/group/burdockgroup/default.go
+++ b/internal/group/burdockgroup/default.go
@@ -33,19 +33,19 @@
 		Ranks:       ranks,
 		Incarnation: incarnation,
 		Retry:       defaultRetry,
-		Patience:    defaultPatience,
+		NotifyDelay: defaultPatience,
 	}
 }
 
 // DefaultControllerConfig returns the configuration of a controller of a group.
 func DefaultControllerConfig(ranks int) ControllerConfig {
 	return ControllerConfig{
-		Ranks:     ranks,
-		Retry:     defaultRetry,
-		LoadPoll:  defaultLoadPoll,
-		Poll:      defaultPoll,
-		Lead:      defaultLead,
-		MaxLead:   defaultMaxLead,
-		ArmBudget: defaultArmBudget,
+		Ranks:         ranks,
+		Retry:         defaultRetry,
+		LoadPoll:      defaultLoadPoll,
+		Poll:          defaultPoll,
+		SwitchLead:    defaultLead,
+		MaxSwitchLead: defaultMaxLead,
+		ArmBudget:     defaultArmBudget,
 	}
 }
--- a/internal/group/burdockgroup/dump.go
+++ b/internal/group/burdockgroup/dump.go
@@ -42,44 +42,44 @@
 	Seq    uint64               `json:"seq"`
 	Goal   Goal                 `json:"goal"`
 	Wanted burdockid.MapVersion `json:"wanted"`
-	// Round and Step are what rounds of orders and the group's steps take, as far as
+	// RoundTime and StepTime are what rounds of orders and the group's steps take, as far as
 	// they have been seen, in milliseconds; 0 if not.
-	Round  burdockclock.Millis  `json:"roundMillis"`
-	Step   float64              `json:"stepMillis"`
-	Ranks  []MemberState        `json:"ranks"`
-	Events []burdockchart.Entry `json:"events"`
+	RoundTime burdockclock.Millis  `json:"roundMillis"`
+	StepTime  float64              `json:"stepMillis"`
+	Ranks     []MemberState        `json:"ranks"`
+	Events    []burdockchart.Entry `json:"events"`
 }
 
 // MemberState is what a controller knows of one rank.
 type MemberState struct {
-	Rank        burdockid.Rank        `json:"rank"`
-	Incarnation burdockid.Incarnation `json:"incarnation"`
-	Fresh       bool                  `json:"fresh"`
-	Engine      EngineStatus          `json:"engine"`
-	Refusal     Refusal               `json:"refusal,omitempty"`
-	Waiting     uint64                `json:"waiting"` // number of the order that is not answered yet
+	Rank         burdockid.Rank        `json:"rank"`
+	Incarnation  burdockid.Incarnation `json:"incarnation"`
+	Fresh        bool                  `json:"fresh"`
+	Engine       EngineStatus          `json:"engine"`
+	Refusal      Refusal               `json:"refusal,omitempty"`
+	PendingOrder uint64                `json:"waiting"` // number of the order that is not answered yet
 }
 
 // State returns the controller's part of the state dump.
 func (c *Controller) State() ControllerState {
 	state := ControllerState{
-		Phase:  c.machine.State(),
-		Lease:  c.lease,
-		Seq:    c.seq,
-		Goal:   c.goal,
-		Wanted: c.target,
-		Round:  c.timing.round,
-		Step:   c.timing.step,
-		Events: c.journal.Entries(),
+		Phase:     c.machine.State(),
+		Lease:     c.lease,
+		Seq:       c.seq,
+		Goal:      c.goal,
+		Wanted:    c.target,
+		RoundTime: c.timing.round,
+		StepTime:  c.timing.step,
+		Events:    c.journal.Entries(),
 	}
 	for i, m := range c.members {
 		state.Ranks = append(state.Ranks, MemberState{
-			Rank:        burdockid.Rank(i),
-			Incarnation: m.incarnation,
-			Fresh:       m.fresh,
-			Engine:      m.status,
-			Refusal:     m.refusal,
-			Waiting:     m.waitingFor(),
+			Rank:         burdockid.Rank(i),
+			Incarnation:  m.incarnation,
+			Fresh:        m.fresh,
+			Engine:       m.status,
+			Refusal:      m.refusal,
+			PendingOrder: m.waitingFor(),
 		})
 	}
 	return state
--- a/internal/group/burdockgroup/lead.go
+++ b/internal/group/burdockgroup/lead.go
@@ -6,22 +6,22 @@
 // change while the others still commit: the group loses steps.
 func (c *Controller) noteLead(s EngineStatus) {
 	deciding := c.machine.State() == ControllerArming || c.machine.State() == ControllerCommitting
-	if deciding && !c.cfg.ShortLead && s.Base != 0 && s.Held && s.Next == s.HoldAt && c.goal.At == s.HoldAt && !c.grown {
+	if deciding && !c.cfg.MinimizeLead && s.Base != 0 && s.Held && s.Next == s.HoldAt && c.goal.At == s.HoldAt && !c.grown {
 		c.growLead()
 	}
 }
 
 // observedLead returns the lead that the latest rounds and steps ask for.
 func (c *Controller) observedLead() burdockid.Step {
-	if c.cfg.LeastRetry == 0 {
+	if c.cfg.MinRetry == 0 {
 		return 0
 	}
-	return min(c.timing.lead(), c.cfg.MaxLead)
+	return min(c.timing.lead(), c.cfg.MaxSwitchLead)
 }
 
 // growLead doubles the lead, once for each change.
 func (c *Controller) growLead() {
-	c.lead = min(max(c.lead, 1)*2, c.cfg.MaxLead)
+	c.lead = min(max(c.lead, 1)*2, c.cfg.MaxSwitchLead)
 	c.grown = true
 }
 
@@ -38,5 +38,5 @@
 	for _, m := range c.members {
 		left = min(left, c.goal.At.Since(m.status.Next))
 	}
-	c.lead = max(c.lead.Since(left), c.cfg.Lead, 1)
+	c.lead = max(c.lead.Since(left), c.cfg.SwitchLead, 1)
 }
--- a/internal/group/burdockgroup/lead_test.go
+++ b/internal/group/burdockgroup/lead_test.go
@@ -52,7 +52,7 @@
 	const seed, cases, most = 1, 10_000, 8
 	rnd := rand.New(rand.NewPCG(seed, seed))
 	for i := range cases {
-		c := NewController(ControllerConfig{Ranks: 3, Lead: 1, MaxLead: most, ShortLead: true})
+		c := NewController(ControllerConfig{Ranks: 3, SwitchLead: 1, MaxSwitchLead: most, MinimizeLead: true})
 		c.lead = burdockid.Step(1 + rnd.IntN(most))
 		c.goal.At = burdockid.Step(rnd.IntN(2 * most))
 		for r := range c.members {
--- a/internal/group/burdockgroup/machine_test.go
+++ b/internal/group/burdockgroup/machine_test.go
@@ -10,7 +10,7 @@
 )
 
 func newTestRank() *Rank {
-	return NewRank(RankConfig{Rank: 0, Ranks: 3, Incarnation: "a", Retry: 20, Patience: 40})
+	return NewRank(RankConfig{Rank: 0, Ranks: 3, Incarnation: "a", Retry: 20, NotifyDelay: 40})
 }
 
 // answer gives the rank its engine's answer to the order in outs.
@@ -39,17 +39,17 @@
 // And peers that are as new as itself know nothing.
 func TestNewAgentHearsAllPeers(t *testing.T) {
 	r := newTestRank()
-	r.Handle(1, FenceTold{From: 1, Fence: 4, Known: true})
+	r.Handle(1, FenceAnswered{From: 1, Fence: 4, Known: true})
 	if got := r.State().Phase; got != RankLearning {
 		t.Errorf("after one peer of two: %s, want %s", got, RankLearning)
 	}
-	r.Handle(1, FenceTold{From: 2, Fence: 7, Known: true})
+	r.Handle(1, FenceAnswered{From: 2, Fence: 7, Known: true})
 	if got := r.State(); got.Phase != RankOrdering || got.Highest.Fence != 7 {
 		t.Errorf("after both: %s with fence %d, want %s with 7", got.Phase, got.Highest.Fence, RankOrdering)
 	}
 	r = newTestRank()
-	r.Handle(1, FenceTold{From: 1})
-	r.Handle(1, FenceTold{From: 2})
+	r.Handle(1, FenceAnswered{From: 1})
+	r.Handle(1, FenceAnswered{From: 2})
 	if got := r.State().Phase; got != RankLearning {
 		t.Errorf("after two peers that know nothing: %s, want %s", got, RankLearning)
 	}
@@ -120,7 +120,7 @@
 func TestControllerStepsDownForANewerOne(t *testing.T) {
 	c := NewController(ControllerConfig{Ranks: 2, Retry: 20, Poll: 200})
 	c.Handle(1, LeaseHeld{Lease{Fence: 1, Until: 100}})
-	c.Handle(2, ReportReceived{Report{From: 0, Highest: 2, Refusal: RefusalOldNumber}})
+	c.Handle(2, ReportReceived{Report{From: 0, HighestFence: 2, Refusal: RefusalOldNumber}})
 	if got := c.State().Phase; got != ControllerIdle {
 		t.Errorf("got %s, want %s", got, ControllerIdle)
 	}
@@ -164,7 +164,7 @@
 		EngineLost{},
 		FenceFromStore{Fence: g.number().Fence},
 		FenceAsked{From: g.rank()},
-		FenceTold{From: g.rank(), Fence: g.number().Fence, Known: g.d%2 == 0},
+		FenceAnswered{From: g.rank(), Fence: g.number().Fence, Known: g.d%2 == 0},
 		StepFinished{Step: burdockid.Step(g.a), Map: burdockid.MapVersion(g.b)},
 		EngineAnswered{Ticket: uint64(g.a % 8), Status: g.status(), Failed: g.b > 250},
 		OrderReceived{Order{Number: g.number(), Incarnation: "a", Body: g.body()}},
@@ -181,7 +181,7 @@
 		MapWanted{Content: []byte{g.a}},
 		MapFound{Map: 1},
 		RankWaiting{From: g.rank()},
-		ReportReceived{Report{Number: g.number(), From: burdockid.Rank(int8(g.d % 3)), Incarnation: "a", Highest: g.number().Fence, Status: g.status()}},
+		ReportReceived{Report{Number: g.number(), From: burdockid.Rank(int8(g.d % 3)), Incarnation: "a", HighestFence: g.number().Fence, Status: g.status()}},
 	}
 	return inputs[int(kind)%len(inputs)]
 }
@@ -193,7 +193,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		const size = 4
 		r := newTestRank()
-		c := NewController(ControllerConfig{Ranks: 2, Retry: 1, Poll: 1, MaxLead: 4})
+		c := NewController(ControllerConfig{Ranks: 2, Retry: 1, Poll: 1, MaxSwitchLead: 4})
 		for i := 0; i+size <= len(data); i += size {
 			g := garble{now: burdockclock.Millis(i), a: data[i+1], b: data[i+2], d: data[i+3]}
 			learning := r.State().Phase == RankLearning
--- a/internal/group/burdockgroup/message.go
+++ b/internal/group/burdockgroup/message.go
@@ -94,8 +94,8 @@
 	From        burdockid.Rank
 	Incarnation burdockid.Incarnation
 	Refusal     Refusal
-	// Highest is the highest fencing number that the rank has seen.
-	Highest burdockid.Fence
+	// HighestFence is the highest fencing number that the rank has seen.
+	HighestFence burdockid.Fence
 	// Status is the engine's status after the order. A refusal has none.
 	Status EngineStatus
 	// Kept lists the maps whose content the agent can pass on.
--- a/internal/group/burdockgroup/paced_test.go
+++ b/internal/group/burdockgroup/paced_test.go
@@ -29,7 +29,7 @@
 
 func newPacedGroup(ranks int) *pacedGroup {
 	g := &pacedGroup{answer: 10, step: 100, c: NewController(ControllerConfig{
-		Ranks: ranks, Retry: burdockclock.Minute, Poll: 10, PassPoll: 10, LoadPoll: 10, Lead: 1, MaxLead: 8, ShortLead: true,
+		Ranks: ranks, Retry: burdockclock.Minute, Poll: 10, SwitchPoll: 10, LoadPoll: 10, SwitchLead: 1, MaxSwitchLead: 8, MinimizeLead: true,
 	})}
 	for range ranks {
 		g.engines = append(g.engines, EngineStatus{Next: 1, Base: 1})
@@ -69,7 +69,7 @@
 }
 
 func (g *pacedGroup) report(o Order) Report {
-	r := Report{Number: o.Number, From: o.To, Incarnation: "a", Highest: 1, Status: g.engines[o.To]}
+	r := Report{Number: o.Number, From: o.To, Incarnation: "a", HighestFence: 1, Status: g.engines[o.To]}
 	if o.To != 0 || g.kept == 0 {
 		return r
 	}
--- a/internal/group/burdockgroup/rank.go
+++ b/internal/group/burdockgroup/rank.go
@@ -16,10 +16,10 @@
 	Incarnation burdockid.Incarnation
 	// Retry is the time after which an unanswered question is asked again.
 	Retry burdockclock.Millis
-	// Patience is how long a rank is held or empty before it says so. Too
+	// NotifyDelay is how long a rank is held or empty before it says so. Too
 	// short costs a message for each change; too long adds to the time for
 	// which a group stands still after its controller has died.
-	Patience burdockclock.Millis
+	NotifyDelay burdockclock.Millis
 }
 
 // rankEvents is the number of past events that the state dump shows.
@@ -36,7 +36,7 @@
 	out     []RankOutput
 
 	highest Number
-	peers   map[burdockid.Rank]FenceTold // answers while learning
+	peers   map[burdockid.Rank]FenceAnswered // answers while learning
 	status  EngineStatus
 	kept    map[burdockid.MapVersion][]byte
 
@@ -55,7 +55,7 @@
 		cfg:     cfg,
 		machine: rankChart.Start(),
 		journal: burdockchart.NewJournal(rankEvents),
-		peers:   map[burdockid.Rank]FenceTold{},
+		peers:   map[burdockid.Rank]FenceAnswered{},
 		kept:    map[burdockid.MapVersion][]byte{},
 	}
 }
@@ -70,8 +70,8 @@
 		r.learn(in.Fence, "from the store")
 	case FenceAsked:
 		known := r.machine.State() != RankLearning
-		r.emit(TellFence{To: in.From, Fence: r.highest.Fence, Known: known})
-	case FenceTold:
+		r.emit(AnswerFence{To: in.From, Fence: r.highest.Fence, Known: known})
+	case FenceAnswered:
 		r.hearPeer(in)
 	case EngineAnswered:
 		r.engineAnswered(in)
@@ -125,7 +125,7 @@
 // number of every controller that has acted. All peers are heard, so that one
 // that was out of reach of the newest controller doesn't decide alone; and one
 // at least must know, else only the store can tell.
-func (r *Rank) hearPeer(told FenceTold) {
+func (r *Rank) hearPeer(told FenceAnswered) {
 	stranger := told.From < 0 || int(told.From) >= r.cfg.Ranks || told.From == r.cfg.Rank
 	if stranger || r.machine.State() != RankLearning {
 		return
@@ -263,11 +263,11 @@
 
 func (r *Rank) refuse(o Order, reason Refusal) {
 	r.emit(SendReport{Report: Report{
-		Number:      o.Number,
-		From:        r.cfg.Rank,
-		Incarnation: r.cfg.Incarnation,
-		Refusal:     reason,
-		Highest:     r.highest.Fence,
+		Number:       o.Number,
+		From:         r.cfg.Rank,
+		Incarnation:  r.cfg.Incarnation,
+		Refusal:      reason,
+		HighestFence: r.highest.Fence,
 	}})
 }
 
@@ -298,7 +298,7 @@
 func (r *Rank) noteSettled() {
 	if phase := r.machine.State(); phase != r.settled {
 		r.settled = phase
-		r.sayGap = r.cfg.Patience
+		r.sayGap = r.cfg.NotifyDelay
 		r.sayAt = r.now + r.sayGap
 	}
 }
@@ -327,12 +327,12 @@
 
 func (r *Rank) report(o Order) {
 	report := Report{
-		Number:      o.Number,
-		From:        r.cfg.Rank,
-		Incarnation: r.cfg.Incarnation,
-		Highest:     r.highest.Fence,
-		Status:      r.status,
-		Kept:        sortedKeys(r.kept),
+		Number:       o.Number,
+		From:         r.cfg.Rank,
+		Incarnation:  r.cfg.Incarnation,
+		HighestFence: r.highest.Fence,
+		Status:       r.status,
+		Kept:         sortedKeys(r.kept),
 	}
 	if v := wanted(o.Body); v != 0 {
 		report.Content = r.kept[v]
@@ -351,7 +351,7 @@
 	want := r.status.mapAt(in.Step)
 	settled := r.machine.State() != RankLearning && r.machine.State() != RankOrdering
 	if settled && want != 0 && in.Step >= r.status.Next && in.Map != want {
-		r.emit(RankFault{Step: in.Step, Got: in.Map, Want: want})
+		r.emit(MapMismatch{Step: in.Step, Got: in.Map, Want: want})
 	}
 	r.status.LastStep, r.status.LastMap = in.Step, in.Map
 }
@@ -369,7 +369,7 @@
 	}
 }
 
-// mostPatience is the factor up to which the gap between two SayWaiting grows.
+// mostPatience is the factor up to which the gap between two NotifyWaiting grows.
 // A group that no one can help, for want of a map, say, must not fill the
 // network with calls for help.
 const mostPatience = 16
@@ -378,9 +378,9 @@
 	if r.now < r.sayAt {
 		return
 	}
-	r.sayGap = min(2*r.sayGap, mostPatience*r.cfg.Patience)
+	r.sayGap = min(2*r.sayGap, mostPatience*r.cfg.NotifyDelay)
 	r.sayAt = r.now + r.sayGap
-	r.emit(SayWaiting{From: r.cfg.Rank})
+	r.emit(NotifyWaiting{From: r.cfg.Rank})
 }
 
 func (r *Rank) askFence() {
--- a/internal/group/burdockgroup/rankio.go
+++ b/internal/group/burdockgroup/rankio.go
@@ -14,8 +14,8 @@
 // FenceAsked is a peer's question for the highest fencing number.
 type FenceAsked struct{ From burdockid.Rank }
 
-// FenceTold is a peer's answer. Known is false if the peer itself is learning.
-type FenceTold struct {
+// FenceAnswered is a peer's answer. Known is false if the peer itself is learning.
+type FenceAnswered struct {
 	From  burdockid.Rank
 	Fence burdockid.Fence
 	Known bool
@@ -44,7 +44,7 @@
 func (OrderReceived) rankInput()  {}
 func (FenceFromStore) rankInput() {}
 func (FenceAsked) rankInput()     {}
-func (FenceTold) rankInput()      {}
+func (FenceAnswered) rankInput()  {}
 func (EngineAnswered) rankInput() {}
 func (EngineLost) rankInput()     {}
 func (StepFinished) rankInput()   {}
@@ -62,8 +62,8 @@
 // AskFence asks a peer, which takes it as FenceAsked.
 type AskFence struct{ To burdockid.Rank }
 
-// TellFence answers a peer, which takes it as FenceTold.
-type TellFence struct {
+// AnswerFence answers a peer, which takes it as FenceAnswered.
+type AnswerFence struct {
 	To    burdockid.Rank
 	Fence burdockid.Fence
 	Known bool
@@ -76,22 +76,22 @@
 	Order  EngineOrder
 }
 
-// SayWaiting tells the group's controller, whoever it is, that the rank is
+// NotifyWaiting tells the group's controller, whoever it is, that the rank is
 // held or empty and so holds back its group. The controller takes it as
 // RankWaiting.
-type SayWaiting struct{ From burdockid.Rank }
+type NotifyWaiting struct{ From burdockid.Rank }
 
-// RankFault says that the engine ran a step with another map than ordered.
-type RankFault struct {
+// MapMismatch says that the engine ran a step with another map than ordered.
+type MapMismatch struct {
 	Step burdockid.Step
 	Got  burdockid.MapVersion
 	Want burdockid.MapVersion
 }
 
-func (SendReport) rankOutput()  {}
-func (ReadFence) rankOutput()   {}
-func (AskFence) rankOutput()    {}
-func (TellFence) rankOutput()   {}
-func (OrderEngine) rankOutput() {}
-func (SayWaiting) rankOutput()  {}
-func (RankFault) rankOutput()   {}
+func (SendReport) rankOutput()    {}
+func (ReadFence) rankOutput()     {}
+func (AskFence) rankOutput()      {}
+func (AnswerFence) rankOutput()   {}
+func (OrderEngine) rankOutput()   {}
+func (NotifyWaiting) rankOutput() {}
+func (MapMismatch) rankOutput()   {}
--- a/internal/group/burdockgroup/reading.go
+++ b/internal/group/burdockgroup/reading.go
@@ -9,7 +9,7 @@
 	if report.From < 0 || int(report.From) >= len(c.members) || c.machine.State() == ControllerIdle {
 		return
 	}
-	if report.Highest > c.lease.Fence {
+	if report.HighestFence > c.lease.Fence {
 		c.stepDown(StepDownReplaced)
 		return
 	}
@@ -41,7 +41,7 @@
 	m.kept = report.Kept
 	c.noteLead(report.Status)
 	if split := c.checker.Observe(report.From, report.Status.LastStep, report.Status.LastMap); split != nil {
-		c.emit(SplitSeen{Split: split})
+		c.emit(SplitDetected{Split: split})
 	}
 }
 
@@ -88,7 +88,7 @@
 	c.noteInForce()
 	switch found {
 	case verdictSplit:
-		c.emit(SplitSeen{})
+		c.emit(SplitDetected{})
 		return c.fire(controllerFoundSettled, "ranks contradict each other; no order is safe")
 	case verdictDecided:
 		return c.fire(controllerFoundDecided, "some rank has committed")
--- a/internal/group/burdockgroup/sending.go
+++ b/internal/group/burdockgroup/sending.go
@@ -137,5 +137,5 @@
 
 func (c *Controller) send(m *member) {
 	m.sentAt = c.now
-	c.emit(SendOrder{Order: *m.order, NotAfter: c.lease.Until, Again: m.again})
+	c.emit(SendOrder{Order: *m.order, NotAfter: c.lease.Until, Resend: m.again})
 }
--- a/internal/group/burdockgroup/timing.go
+++ b/internal/group/burdockgroup/timing.go
@@ -111,31 +111,31 @@
 	if _, isLoad := body.(Load); isLoad && c.cfg.LoadRetry > 0 {
 		return c.cfg.LoadRetry
 	}
-	if c.cfg.LeastRetry == 0 || c.timing.round == 0 {
+	if c.cfg.MinRetry == 0 || c.timing.round == 0 {
 		return c.cfg.Retry
 	}
-	return min(max(retriesPerRound*c.timing.round, c.cfg.LeastRetry), c.cfg.Retry)
+	return min(max(retriesPerRound*c.timing.round, c.cfg.MinRetry), c.cfg.Retry)
 }
 
-// Patience returns how long an order of a kind may go without an answer before
+// RetryInterval returns how long an order of a kind may go without an answer before
 // it is sent again.
-func (c *Controller) Patience(body OrderBody) burdockclock.Millis { return c.retry(body) }
+func (c *Controller) RetryInterval(body OrderBody) burdockclock.Millis { return c.retry(body) }
 
 // armPatience is how long a rank may take to answer that it is armed: so long
 // that an order which was lost has been sent again.
 func (c *Controller) armPatience() burdockclock.Millis {
-	if c.cfg.ArmPatience == 0 || c.cfg.LeastRetry == 0 {
-		return c.cfg.ArmPatience
+	if c.cfg.ArmTimeout == 0 || c.cfg.MinRetry == 0 {
+		return c.cfg.ArmTimeout
 	}
-	return c.cfg.ArmPatience + c.retry(Arm{})
+	return c.cfg.ArmTimeout + c.retry(Arm{})
 }
 
 // armBudget is the rest of the lease that a change has to have: its rounds, one of
-// which may wait for a rank that doesn't answer. More than MostArmBudget is
+// which may wait for a rank that doesn't answer. More than MaxArmBudget is
 // never asked for, since a lease that is renewed in time has not more.
 func (c *Controller) armBudget() burdockclock.Millis {
-	if c.cfg.MostArmBudget == 0 {
+	if c.cfg.MaxArmBudget == 0 {
 		return c.cfg.ArmBudget
 	}
-	return min(max(c.cfg.ArmBudget, c.armPatience()+roundsPerChange*c.timing.round), c.cfg.MostArmBudget)
+	return min(max(c.cfg.ArmBudget, c.armPatience()+roundsPerChange*c.timing.round), c.cfg.MaxArmBudget)
 }
--- a/internal/group/burdockgroup/withdraw.go
+++ b/internal/group/burdockgroup/withdraw.go
@@ -44,7 +44,7 @@
 	c.wanted, c.target = nil, 0
 	for i, m := range c.members {
 		if !m.status.has(c.goal.Map) {
-			c.emit(MapRefused{Map: c.goal.Map, Rank: burdockid.Rank(i)})
+			c.emit(MapLoadFailed{Map: c.goal.Map, Rank: burdockid.Rank(i)})
 		}
 	}
 	c.goal = Goal{Kind: GoalRun, Base: c.goal.Base}
--- a/internal/measure/burdockgrouplab/duty.go
+++ b/internal/measure/burdockgrouplab/duty.go
@@ -27,13 +27,13 @@
 	d.life++
 	d.inbox = nil
 	d.controller = burdockgroup.NewController(burdockgroup.ControllerConfig{
-		Ranks:     w.cfg.Ranks,
-		Retry:     retry,
-		LoadPoll:  w.cfg.LoadPoll,
-		Poll:      poll,
-		Lead:      w.cfg.Lead,
-		MaxLead:   w.cfg.MaxLead,
-		ArmBudget: armBudget,
+		Ranks:         w.cfg.Ranks,
+		Retry:         retry,
+		LoadPoll:      w.cfg.LoadPoll,
+		Poll:          poll,
+		SwitchLead:    w.cfg.Lead,
+		MaxSwitchLead: w.cfg.MaxLead,
+		ArmBudget:     armBudget,
 	})
 	if w.wanted != nil {
 		w.handle(d, burdockgroup.MapWanted{Content: w.wanted})
@@ -122,7 +122,7 @@
 				}
 			})
 		}
-	case burdockgroup.SplitSeen:
+	case burdockgroup.SplitDetected:
 		w.fail("controller %d saw a split: %v", d.index, out.Split)
 	}
 }
--- a/internal/measure/burdockgrouplab/site.go
+++ b/internal/measure/burdockgrouplab/site.go
@@ -16,7 +16,7 @@
 		Ranks:       w.cfg.Ranks,
 		Incarnation: burdockid.Incarnation(fmt.Sprintf("%d.%d", s.rank, s.life)),
 		Retry:       retry,
-		Patience:    patience,
+		NotifyDelay: patience,
 	})
 	w.tickAgent(s, s.life)
 }
@@ -49,19 +49,19 @@
 	case burdockgroup.AskFence:
 		peer := w.sites[out.To]
 		w.send(func() { w.toAgent(peer, peer.life, burdockgroup.FenceAsked{From: s.rank}) })
-	case burdockgroup.TellFence:
+	case burdockgroup.AnswerFence:
 		peer := w.sites[out.To]
-		told := burdockgroup.FenceTold{From: s.rank, Fence: w.learned(out.Fence), Known: out.Known}
+		told := burdockgroup.FenceAnswered{From: s.rank, Fence: w.learned(out.Fence), Known: out.Known}
 		w.send(func() { w.toAgent(peer, peer.life, told) })
 	case burdockgroup.OrderEngine:
 		w.schedule(w.engineDelay(s), func() { w.toEngine(s, life, out) })
-	case burdockgroup.SayWaiting:
+	case burdockgroup.NotifyWaiting:
 		w.send(func() {
 			for _, d := range w.duties {
 				w.handle(d, burdockgroup.RankWaiting(out))
 			}
 		})
-	case burdockgroup.RankFault:
+	case burdockgroup.MapMismatch:
 		w.fail("rank %d ran step %d with map %d, ordered %d", s.rank, out.Step, out.Got, out.Want)
 	}
 }
--- a/internal/serve/burdockhosted/agent.go
+++ b/internal/serve/burdockhosted/agent.go
@@ -99,11 +99,11 @@
 		LeaseTTL: leaseTTL, LeaseEvery: leaseEvery, LeaseOutage: leaseOutage, LeaseStagger: leaseStagger, LeaseLook: leaseLook,
 		Watch: burdockclock.Second, LinkBytesPerMilli: linkMbps * bytesPerMegabit,
 		Controller: func(cfg *burdockgroup.ControllerConfig) {
-			cfg.Poll, cfg.ArmBudget, cfg.MostArmBudget = groupPoll, armBudget, mostArmBudget
-			cfg.ArmPatience = armPatience
-			cfg.Retry, cfg.LeastRetry, cfg.LoadRetry = orderRetry, leastRetry, loadRetry
-			cfg.PassPoll, cfg.LoadPoll = passPoll, loadPoll
-			cfg.Lead, cfg.MaxLead, cfg.ShortLead = changeLead, changeLeadMax, true
+			cfg.Poll, cfg.ArmBudget, cfg.MaxArmBudget = groupPoll, armBudget, mostArmBudget
+			cfg.ArmTimeout = armPatience
+			cfg.Retry, cfg.MinRetry, cfg.LoadRetry = orderRetry, leastRetry, loadRetry
+			cfg.SwitchPoll, cfg.LoadPoll = passPoll, loadPoll
+			cfg.SwitchLead, cfg.MaxSwitchLead, cfg.MinimizeLead = changeLead, changeLeadMax, true
 		},
 	}
 }
--- a/internal/serve/burdockhosted/schedule_test.go
+++ b/internal/serve/burdockhosted/schedule_test.go
@@ -294,7 +294,7 @@
 				report := out.Report
 				s.mail = append(s.mail, letter{at: s.now + s.delay(), controller: c, report: &report})
 			}
-		case burdockgroup.SayWaiting:
+		case burdockgroup.NotifyWaiting:
 			for c := range s.controllers {
 				s.tell(c, burdockgroup.RankWaiting(out))
 			}
--- a/internal/serve/burdockrank/asking.go
+++ b/internal/serve/burdockrank/asking.go
@@ -124,7 +124,7 @@
 	if err != nil {
 		return
 	}
-	m.handle(burdockgroup.FenceTold{From: q.rank, Fence: burdockid.Fence(res.Msg.GetFence()), Known: res.Msg.GetKnown()})
+	m.handle(burdockgroup.FenceAnswered{From: q.rank, Fence: burdockid.Fence(res.Msg.GetFence()), Known: res.Msg.GetKnown()})
 }
 
 // client returns the way to the agent of another rank.
@@ -143,7 +143,7 @@
 // Load: a large group that stands, each rank of which calls. Harm prevented: a
 // call from each agent to each other one, which fills the links that the orders
 // of the next controller need.
-func (a *asking) sayWaiting(out burdockgroup.SayWaiting) {
+func (a *asking) sayWaiting(out burdockgroup.NotifyWaiting) {
 	if address := a.knownController(); address != "" {
 		if a.member.enter() {
 			go controllerCall{a, address, out}.run()
@@ -161,7 +161,7 @@
 type controllerCall struct {
 	asking  *asking
 	address string
-	out     burdockgroup.SayWaiting
+	out     burdockgroup.NotifyWaiting
 }
 
 func (c controllerCall) run() {
@@ -180,7 +180,7 @@
 type waitingCall struct {
 	member *member
 	to     burdockid.Rank
-	out    burdockgroup.SayWaiting
+	out    burdockgroup.NotifyWaiting
 }
 
 func (c waitingCall) run() {
--- a/internal/serve/burdockrank/counting.go
+++ b/internal/serve/burdockrank/counting.go
@@ -42,7 +42,7 @@
 // The counts themselves are of no use until the change is over.
 func (p *planning) inTheWay(state burdockgroup.ControllerState) bool {
 	resting := state.Phase == burdockgroup.ControllerResting && state.Goal.Map == 0
-	return !resting && state.Round > 0 && p.roundTook > state.Round
+	return !resting && state.RoundTime > 0 && p.roundTook > state.RoundTime
 }
 
 func (p *planning) nextRank() burdockid.Rank {
--- a/internal/serve/burdockrank/counting_test.go
+++ b/internal/serve/burdockrank/counting_test.go
@@ -12,7 +12,7 @@
 // While the group rests, and in a small group, counts are asked for all the time: a
 // turn of popularity is seen the sooner.
 func TestCountsDoNotHoldUpAChange(t *testing.T) {
-	rests := burdockgroup.ControllerState{Phase: burdockgroup.ControllerResting, Round: 50}
+	rests := burdockgroup.ControllerState{Phase: burdockgroup.ControllerResting, RoundTime: 50}
 	awaits := rests
 	awaits.Goal.Map = 9
 	tests := []struct {
@@ -23,8 +23,8 @@
 	}{
 		{"at rest", rests, 90, false},
 		{"until the step of a change is past", awaits, 90, true},
-		{"while ranks commit", burdockgroup.ControllerState{Phase: burdockgroup.ControllerCommitting, Round: 50}, 90, true},
-		{"in a small group", burdockgroup.ControllerState{Phase: burdockgroup.ControllerCommitting, Round: 20}, 10, false},
+		{"while ranks commit", burdockgroup.ControllerState{Phase: burdockgroup.ControllerCommitting, RoundTime: 50}, 90, true},
+		{"in a small group", burdockgroup.ControllerState{Phase: burdockgroup.ControllerCommitting, RoundTime: 20}, 10, false},
 		{"before rounds have been seen", burdockgroup.ControllerState{Phase: burdockgroup.ControllerReading}, 90, false},
 	}
 	for _, test := range tests {
--- a/internal/serve/burdockrank/delivery.go
+++ b/internal/serve/burdockrank/delivery.go
@@ -69,7 +69,7 @@
 		return
 	}
 	common.Degree = int32(branches)
-	if list[0].Again {
+	if list[0].Resend {
 		// What kept the first sending from its ranks may be the agent that it went
 		// through.
 		slices.Reverse(list)
@@ -96,7 +96,7 @@
 	msg := orderToWire(m.seat.Group, out.Order)
 	req := &burdockwire.GroupRelayRequest{
 		Group: msg.GetGroup(), Fence: msg.GetFence(), Kind: msg.GetKind(), Map: msg.GetMap(), At: msg.GetAt(), Content: msg.GetContent(),
-		PatienceMillis: int32(max(d.controller.Patience(burdockgroup.Read{}), leastSign)),
+		PatienceMillis: int32(max(d.controller.RetryInterval(burdockgroup.Read{}), leastSign)),
 		Controller:     m.deps.Directory.Agent(m.seat.Group, m.seat.Rank),
 	}
 	if load, ok := out.Order.Body.(burdockgroup.Load); ok {
--- a/internal/serve/burdockrank/duty.go
+++ b/internal/serve/burdockrank/duty.go
@@ -93,14 +93,14 @@
 		d.plan.inForce(out.Map)
 		m.deps.Log.Info("map in force", zap.String("group", m.seat.Group), zap.Uint64("map", uint64(out.Map)),
 			zap.String("phases", phases(d.controller.State().Events)))
-	case burdockgroup.MapRefused:
+	case burdockgroup.MapLoadFailed:
 		d.plan.refused()
 		m.deps.Log.Warn("a rank could not load the map", zap.Uint64("map", uint64(out.Map)), zap.Int("rank", int(out.Rank)))
 	case burdockgroup.SteppedDown:
 		d.plan.reset()
 		d.lease.end()
 		m.deps.Log.Info("no longer controls the group", zap.String("group", m.seat.Group), zap.String("reason", string(out.Reason)))
-	case burdockgroup.SplitSeen:
+	case burdockgroup.SplitDetected:
 		d.splitSeen(out)
 	}
 }
@@ -118,7 +118,7 @@
 	return strings.TrimSpace(b.String())
 }
 
-func (d *duty) splitSeen(out burdockgroup.SplitSeen) {
+func (d *duty) splitSeen(out burdockgroup.SplitDetected) {
 	d.member.mu.Lock()
 	defer d.member.mu.Unlock()
 	if out.Split == nil {
--- a/internal/serve/burdockrank/member.go
+++ b/internal/serve/burdockrank/member.go
@@ -150,9 +150,9 @@
 			m.asking.peer(out.To)
 		case burdockgroup.OrderEngine:
 			m.engine.add(out)
-		case burdockgroup.SayWaiting:
+		case burdockgroup.NotifyWaiting:
 			m.asking.sayWaiting(out)
-		case burdockgroup.RankFault:
+		case burdockgroup.MapMismatch:
 			m.fault("the engine ran a step with another map than ordered",
 				zap.Uint64("step", uint64(out.Step)), zap.Uint64("got", uint64(out.Got)), zap.Uint64("want", uint64(out.Want)))
 		}
@@ -270,12 +270,12 @@
 }
 
 // tellFence answers a peer's question for the highest fencing number.
-func (m *member) tellFence(from burdockid.Rank) burdockgroup.TellFence {
+func (m *member) tellFence(from burdockid.Rank) burdockgroup.AnswerFence {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var told burdockgroup.TellFence
+	var told burdockgroup.AnswerFence
 	for _, out := range m.rank.Handle(m.deps.Clock.Boot(), burdockgroup.FenceAsked{From: from}) {
-		if t, ok := out.(burdockgroup.TellFence); ok {
+		if t, ok := out.(burdockgroup.AnswerFence); ok {
 			told = t
 		}
 	}
--- a/internal/serve/burdockrank/size_test.go
+++ b/internal/serve/burdockrank/size_test.go
@@ -40,7 +40,7 @@
 		})
 	}
 	report := reportToWire(burdockgroup.Report{
-		Number: burdockgroup.Number{Fence: fence, Seq: seq}, From: ranks - 1, Incarnation: burdockid.NewIncarnation(), Highest: fence,
+		Number: burdockgroup.Number{Fence: fence, Seq: seq}, From: ranks - 1, Incarnation: burdockid.NewIncarnation(), HighestFence: fence,
 		Status: burdockgroup.EngineStatus{
 			Next: at, Base: version, Switch: burdockgroup.Switch{Map: version, At: at}, Held: true, HoldAt: at, LastStep: at, LastMap: version,
 		},
--- a/internal/serve/burdockrank/wire.go
+++ b/internal/serve/burdockrank/wire.go
@@ -89,7 +89,7 @@
 		From:        int32(r.From),
 		Incarnation: string(r.Incarnation),
 		Refusal:     string(r.Refusal),
-		Highest:     uint64(r.Highest),
+		Highest:     uint64(r.HighestFence),
 		Content:     r.Content,
 	}
 	if r.Refusal == burdockgroup.RefusalNone {
@@ -103,12 +103,12 @@
 
 func reportFromWire(msg *burdockwire.GroupReport) (burdockgroup.Report, error) {
 	r := burdockgroup.Report{
-		Number:      burdockgroup.Number{Fence: burdockid.Fence(msg.GetFence()), Seq: msg.GetSeq()},
-		From:        burdockid.Rank(msg.GetFrom()),
-		Incarnation: burdockid.Incarnation(msg.GetIncarnation()),
-		Refusal:     burdockgroup.Refusal(msg.GetRefusal()),
-		Highest:     burdockid.Fence(msg.GetHighest()),
-		Content:     msg.GetContent(),
+		Number:       burdockgroup.Number{Fence: burdockid.Fence(msg.GetFence()), Seq: msg.GetSeq()},
+		From:         burdockid.Rank(msg.GetFrom()),
+		Incarnation:  burdockid.Incarnation(msg.GetIncarnation()),
+		Refusal:      burdockgroup.Refusal(msg.GetRefusal()),
+		HighestFence: burdockid.Fence(msg.GetHighest()),
+		Content:      msg.GetContent(),
 	}
 	if r.Refusal == burdockgroup.RefusalNone {
 		if msg.GetStatus() == nil {
--- a/internal/serve/burdockrank/wire_test.go
+++ b/internal/serve/burdockrank/wire_test.go
@@ -32,7 +32,7 @@
 
 func TestReportsPassTheWireUnchanged(t *testing.T) {
 	want := burdockgroup.Report{
-		Number: burdockgroup.Number{Fence: 2, Seq: 7}, From: 1, Incarnation: "run", Highest: 2,
+		Number: burdockgroup.Number{Fence: 2, Seq: 7}, From: 1, Incarnation: "run", HighestFence: 2,
 		Status: burdockgroup.EngineStatus{
 			Next: 1, Base: 2, Switch: burdockgroup.Switch{Map: 3, At: 4}, Spare: 5, Loading: 6, Failed: 7,
 			Held: true, HoldAt: 8, LastStep: 9, LastMap: 10,
