--- a/internal/serve/burdockhosted/agent.go
+++ b/internal/serve/burdockhosted/agent.go
@@ -93,12 +93,12 @@
 
 // pace returns how a group follows its popularity from a VM whose link carries so
 // many megabits a second; 0 if that is not known.
-func pace(linkMbps float64) burdockrank.Pace {
-	return burdockrank.Pace{
-		HalfLife: popularityHalfLife, CountsEvery: countsEvery, CountsRanks: countsRanks, TurnAtOnce: true, RankLoads: rankLoads, Gap: changeGap, Tick: tick,
-		LeaseTTL: leaseTTL, LeaseEvery: leaseEvery, LeaseOutage: leaseOutage, LeaseStagger: leaseStagger, LeaseLook: leaseLook,
-		Watch: burdockclock.Second, LinkBytesPerMilli: linkMbps * bytesPerMegabit,
-		Controller: func(cfg *burdockgroup.ControllerConfig) {
+func pace(linkMbps float64) burdockrank.Tuning {
+	return burdockrank.Tuning{
+		HalfLife: popularityHalfLife, CountsInterval: countsEvery, SampledRanks: countsRanks, PlanOnUnconfirmedShift: true, MaxRankLoads: rankLoads, MinChangeInterval: changeGap, TickInterval: tick,
+		LeaseTTL: leaseTTL, LeaseRenewInterval: leaseEvery, MaxStoreOutage: leaseOutage, LeaseStagger: leaseStagger, LeaseRetryInterval: leaseLook,
+		WatchInterval: burdockclock.Second, LinkBytesPerMilli: linkMbps * bytesPerMegabit,
+		AdjustController: func(cfg *burdockgroup.ControllerConfig) {
 			cfg.Poll, cfg.ArmBudget, cfg.MaxArmBudget = groupPoll, armBudget, mostArmBudget
 			cfg.ArmTimeout = armPatience
 			cfg.Retry, cfg.MinRetry, cfg.LoadRetry = orderRetry, leastRetry, loadRetry
@@ -140,11 +140,11 @@
 	a := &agent{log: log}
 	a.directory = newDirectory(p.NewRank, settings.UpstreamAddress, address, p.Store, spec, log)
 	a.announcer = newAnnouncer(p.Store, settings.UpstreamAddress, a.directory.speed, log)
-	leases := newLeases(p.Store, mirror, clock, a.directory.Seat, log)
+	leases := newLeases(p.Store, mirror, clock, a.directory.Assignment, log)
 	a.host = burdockrank.NewHost(burdockid.Upstream(settings.UpstreamAddress), burdockrank.Deps{
-		Clock: clock, Engines: a.directory.engine, Remote: a.directory.remote, Store: leases,
-		Directory: a.directory, Peers: burdocktransport.NewPeers(nil), Log: log, Pace: pace(settings.LinkMbps),
-		First: func(ranks int) (burdockid.MapVersion, []byte, error) {
+		Clock: clock, EngineFor: a.directory.engine, RemoteEngine: a.directory.remote, Store: leases,
+		Directory: a.directory, Peers: burdocktransport.NewPeers(nil), Log: log, Tuning: pace(settings.LinkMbps),
+		InitialMap: func(ranks int) (burdockid.MapVersion, []byte, error) {
 			content, err := firstContent(spec(), ranks)
 			return firstMap, content, err
 		},
--- a/internal/serve/burdockhosted/agent_test.go
+++ b/internal/serve/burdockhosted/agent_test.go
@@ -28,7 +28,7 @@
 
 func newSlowGroup(ranks int, round, pass burdockclock.Millis) *slowGroup {
 	cfg := burdockgroup.DefaultControllerConfig(ranks)
-	pace(0).Controller(&cfg)
+	pace(0).AdjustController(&cfg)
 	g := &slowGroup{controller: burdockgroup.NewController(cfg), round: round, pass: pass}
 	for range ranks {
 		g.ranks = append(g.ranks, burdockgroup.EngineStatus{Next: 1, Base: firstMap})
--- a/internal/serve/burdockhosted/directory.go
+++ b/internal/serve/burdockhosted/directory.go
@@ -63,7 +63,7 @@
 	done   sync.WaitGroup
 
 	mu          sync.Mutex
-	seat        burdockrank.Seat
+	seat        burdockrank.Assignment
 	published   string // the key that holds this agent's address
 	publishedAt time.Time
 	places      map[string]place // by key, as last listed
@@ -107,9 +107,9 @@
 		return
 	}
 	d.speed.saw(report)
-	seat := burdockrank.Seat{}
+	seat := burdockrank.Assignment{}
 	if report.Open && report.Ranks > 1 && d.spec() != nil && d.spec().Layers > 0 {
-		seat = burdockrank.Seat{
+		seat = burdockrank.Assignment{
 			Group: report.Group + epochMark + strconv.FormatInt(report.Epoch, 10),
 			Rank:  report.Rank, Ranks: report.Ranks,
 		}
@@ -120,7 +120,7 @@
 	}
 }
 
-func (d *directory) sit(seat burdockrank.Seat) {
+func (d *directory) sit(seat burdockrank.Assignment) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if seat != d.seat {
@@ -203,8 +203,8 @@
 	d.places = places
 }
 
-// Seat implements burdockrank.Directory.
-func (d *directory) Seat() burdockrank.Seat {
+// Assignment implements burdockrank.Directory.
+func (d *directory) Assignment() burdockrank.Assignment {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.seat
@@ -232,7 +232,7 @@
 }
 
 // engine returns the engine of a seat.
-func (d *directory) engine(seat burdockrank.Seat) burdockengine.GroupEngine {
+func (d *directory) engine(seat burdockrank.Assignment) burdockengine.GroupEngine {
 	return &engine{rank: d.rank, spec: d.spec, epoch: d.epochOf(seat.Group), speed: d.speed, loadWait: loadWait}
 }
 
--- a/internal/serve/burdockhosted/leases.go
+++ b/internal/serve/burdockhosted/leases.go
@@ -19,7 +19,7 @@
 const prefixLease = prefixOwn + "lease/"
 
 // leases makes leases with a holder and a fencing number out of a store that
-// has leases on keys. It implements burdockrank.Leases.
+// has leases on keys. It implements burdockrank.LeaseStore.
 //
 // All agents of a group try again and again. While the mirror shows a holder, or
 // it isn't the agent's turn, a try costs no call.
@@ -27,7 +27,7 @@
 	store  burdockkv.Store
 	mirror *burdockkv.Mirror
 	clock  burdockclock.Clock
-	seat   func() burdockrank.Seat // of this agent
+	seat   func() burdockrank.Assignment // of this agent
 	log    *zap.Logger
 
 	mu   sync.Mutex
@@ -46,7 +46,7 @@
 	fence burdockid.Fence
 }
 
-func newLeases(store burdockkv.Store, mirror *burdockkv.Mirror, clock burdockclock.Clock, seat func() burdockrank.Seat, log *zap.Logger) *leases {
+func newLeases(store burdockkv.Store, mirror *burdockkv.Mirror, clock burdockclock.Clock, seat func() burdockrank.Assignment, log *zap.Logger) *leases {
 	return &leases{
 		store: store, mirror: mirror, clock: clock, seat: seat, log: log,
 		held: map[string]heldLease{}, free: map[string]freeLease{},
@@ -97,7 +97,7 @@
 	return l.clock.Boot()-since >= turnWait(l.turn(name))
 }
 
-// Acquire implements burdockrank.Leases.
+// Acquire implements burdockrank.LeaseStore.
 func (l *leases) Acquire(ctx context.Context, name, holder string, ttl burdockclock.Millis) (burdockstore.Lease, error) {
 	own, ok := l.own(name)
 	if !ok {
@@ -184,7 +184,7 @@
 	return heldLease{}, burdockstore.ErrUnavailable.Wrap(err, "lease %s", name)
 }
 
-// Fence implements burdockrank.Leases. A key that is not there has left its
+// Fence implements burdockrank.LeaseStore. A key that is not there has left its
 // number behind nowhere; the store's revision is at least as high, and lower
 // than that of any later holder.
 func (l *leases) Fence(ctx context.Context, name string) (burdockid.Fence, error) {
@@ -201,7 +201,7 @@
 	return burdockid.Fence(rev), nil
 }
 
-// Release implements burdockrank.Leases.
+// Release implements burdockrank.LeaseStore.
 func (l *leases) Release(ctx context.Context, name, _ string) error {
 	own, ok := l.own(name)
 	if !ok {
--- a/internal/serve/burdockhosted/leases_test.go
+++ b/internal/serve/burdockhosted/leases_test.go
@@ -104,11 +104,11 @@
 	clock  *burdockclock.Manual
 }
 
-func newHolder(store *fakeKV) *holder { return newHolderAt(store, burdockrank.Seat{}) }
+func newHolder(store *fakeKV) *holder { return newHolderAt(store, burdockrank.Assignment{}) }
 
-func newHolderAt(store *fakeKV, seat burdockrank.Seat) *holder {
+func newHolderAt(store *fakeKV, seat burdockrank.Assignment) *holder {
 	m, clock := burdockkv.NewMirror(), burdockclock.NewManual(1)
-	l := newLeases(store, m, clock.Clock(), func() burdockrank.Seat { return seat }, zap.NewNop())
+	l := newLeases(store, m, clock.Clock(), func() burdockrank.Assignment { return seat }, zap.NewNop())
 	return &holder{leases: l, store: store, mirror: m, clock: clock}
 }
 
@@ -186,10 +186,10 @@
 // newAgentsAtALapse returns agents that have known a holder whose lease is gone.
 func newAgentsAtALapse(ranks int, dead func(rank int) bool) *agentsAtALapse {
 	a := &agentsAtALapse{store: newFakeKV(), heard: make([]burdockclock.Millis, ranks)}
-	before := newHolderAt(a.store, burdockrank.Seat{Group: "g@1", Rank: 5, Ranks: ranks})
+	before := newHolderAt(a.store, burdockrank.Assignment{Group: "g@1", Rank: 5, Ranks: ranks})
 	_, _ = before.Acquire(context.Background(), groupLease, "before", 1000)
 	for rank := range ranks {
-		seat := burdockrank.Seat{Group: "g@1", Rank: burdockid.Rank(rank), Ranks: ranks}
+		seat := burdockrank.Assignment{Group: "g@1", Rank: burdockid.Rank(rank), Ranks: ranks}
 		h := newHolderAt(a.store, seat)
 		a.agents = append(a.agents, h)
 		a.list(h)
--- a/internal/serve/burdockhosted/news_test.go
+++ b/internal/serve/burdockhosted/news_test.go
@@ -90,7 +90,7 @@
 // Guards against entries that learn of a group's opening by refused offers alone.
 func TestControllerTellsTheOpenEpoch(t *testing.T) {
 	store := newFakeKV()
-	h := newHolderAt(store, burdockrank.Seat{Group: "g" + epochMark + "7", Ranks: 1})
+	h := newHolderAt(store, burdockrank.Assignment{Group: "g" + epochMark + "7", Ranks: 1})
 	if _, err := h.acquire("a"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/serve/burdockhosted/schedule_test.go
+++ b/internal/serve/burdockhosted/schedule_test.go
@@ -249,7 +249,7 @@
 // start replaces a controller by a new one.
 func (s *schedule) start(c int) {
 	cfg := burdockgroup.DefaultControllerConfig(len(s.ranks))
-	pace(0).Controller(&cfg)
+	pace(0).AdjustController(&cfg)
 	s.controllers[c], s.proxies[c] = burdockgroup.NewController(cfg), make([]*proxyModel, len(s.ranks))
 	s.asleep[c], s.believed[c] = false, burdockgroup.Lease{}
 }
--- a/internal/serve/burdockrank/counting.go
+++ b/internal/serve/burdockrank/counting.go
@@ -27,7 +27,7 @@
 		return
 	}
 	p.asking = true
-	if p.duty.member.deps.Pace.CountsBytesPerSecond == 0 {
+	if p.duty.member.deps.Tuning.CountsBytesPerSecond == 0 {
 		go round{p}.run()
 		return
 	}
@@ -122,8 +122,8 @@
 			return 0
 		}
 	}
-	pace := p.duty.member.deps.Pace
-	return max(pace.CountsEvery, burdockclock.Millis(size)*millisPerSecond/burdockclock.Millis(pace.CountsBytesPerSecond))
+	pace := p.duty.member.deps.Tuning
+	return max(pace.CountsInterval, burdockclock.Millis(size)*millisPerSecond/burdockclock.Millis(pace.CountsBytesPerSecond))
 }
 
 // shape starts the popularity afresh when the model's shape is another.
@@ -135,7 +135,7 @@
 			return
 		}
 	}
-	p.popularity = burdockexpert.NewPopularity(layers, experts, p.duty.member.deps.Pace.HalfLife)
+	p.popularity = burdockexpert.NewPopularity(layers, experts, p.duty.member.deps.Tuning.HalfLife)
 }
 
 func since(before, now []burdockid.Tokens) []burdockid.Tokens {
--- a/internal/serve/burdockrank/delivery.go
+++ b/internal/serve/burdockrank/delivery.go
@@ -84,7 +84,7 @@
 // orderCost is what a round of orders with a content of so many bytes costs.
 func (m *member) orderCost(content int) treeCost {
 	return treeCost{
-		bytesPerMilli: m.deps.Pace.LinkBytesPerMilli, message: float64(callBytes + content),
+		bytesPerMilli: m.deps.Tuning.LinkBytesPerMilli, message: float64(callBytes + content),
 		order: orderBytes, call: callMillis, hop: hopMillis,
 	}
 }
--- a/internal/serve/burdockrank/directory.go
+++ b/internal/serve/burdockrank/directory.go
@@ -11,17 +11,17 @@
 	"burdockbend.example/burdockbend/internal/state/burdockfleet"
 )
 
-// Leases is what the duty of a group needs of the configuration store. The
+// LeaseStore is what the duty of a group needs of the configuration store. The
 // methods are those of burdockstore.Store.
-type Leases interface {
+type LeaseStore interface {
 	Acquire(ctx context.Context, name, holder string, ttl burdockclock.Millis) (burdockstore.Lease, error)
 	Fence(ctx context.Context, name string) (burdockid.Fence, error)
 	Release(ctx context.Context, name, holder string) error
 }
 
-// Seat is a place in a group; the zero value is none. A machine that was made
+// Assignment is a place in a group; the zero value is none. A machine that was made
 // for one seat knows nothing that holds for another.
-type Seat struct {
+type Assignment struct {
 	Group string
 	Rank  burdockid.Rank
 	Ranks int
@@ -29,8 +29,8 @@
 
 // Directory tells who is in which group.
 type Directory interface {
-	// Seat returns the place of the upstream beside this agent.
-	Seat() Seat
+	// Assignment returns the place of the upstream beside this agent.
+	Assignment() Assignment
 	// Agent returns the IP:port of the agent of a rank, or "".
 	Agent(group string, rank burdockid.Rank) string
 	// Refresh asks for the addresses of a group's agents to be read again, since
@@ -55,14 +55,14 @@
 	return fleetDirectory{fleet, upstream}
 }
 
-// Seat implements Directory.
-func (d fleetDirectory) Seat() Seat {
+// Assignment implements Directory.
+func (d fleetDirectory) Assignment() Assignment {
 	fleet := d.fleet.Now()
 	u, ok := fleet.Upstreams[d.upstream]
 	if !ok || u.Group == "" {
-		return Seat{}
+		return Assignment{}
 	}
-	return Seat{Group: u.Group, Rank: u.Rank, Ranks: len(groupOf(fleet, u))}
+	return Assignment{Group: u.Group, Rank: u.Rank, Ranks: len(groupOf(fleet, u))}
 }
 
 // Agent implements Directory.
--- a/internal/serve/burdockrank/dump.go
+++ b/internal/serve/burdockrank/dump.go
@@ -24,9 +24,9 @@
 // the agent that holds the group's lease.
 type PlannerState struct {
 	burdockexpert.State
-	NeedFirst bool             `json:"needFirst"`
-	Wanted    bool             `json:"wanted"`
-	Heard     []burdockid.Rank `json:"heard"` // ranks whose counts are known
+	NeedInitialMap  bool             `json:"needFirst"`
+	Wanted          bool             `json:"wanted"`
+	RanksWithCounts []burdockid.Rank `json:"heard"` // ranks whose counts are known
 }
 
 // TrafficState counts the messages of the agent's controller, without framing.
@@ -63,10 +63,10 @@
 func (p *planning) state() PlannerState {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := PlannerState{State: p.planner.State(), NeedFirst: p.needFirst, Wanted: p.wishedAt != 0, Heard: []burdockid.Rank{}}
+	s := PlannerState{State: p.planner.State(), NeedInitialMap: p.needFirst, Wanted: p.wishedAt != 0, RanksWithCounts: []burdockid.Rank{}}
 	for r, c := range p.counts {
 		if c.Tokens != nil {
-			s.Heard = append(s.Heard, burdockid.Rank(r))
+			s.RanksWithCounts = append(s.RanksWithCounts, burdockid.Rank(r))
 		}
 	}
 	s.Decisions = slices.Clone(s.Decisions)
--- a/internal/serve/burdockrank/duty.go
+++ b/internal/serve/burdockrank/duty.go
@@ -37,7 +37,7 @@
 
 func newDuty(m *member, random *rand.Rand) *duty {
 	cfg := burdockgroup.DefaultControllerConfig(m.seat.Ranks)
-	if adjust := m.deps.Pace.Controller; adjust != nil {
+	if adjust := m.deps.Tuning.AdjustController; adjust != nil {
 		adjust(&cfg)
 	}
 	d := &duty{member: m, controller: burdockgroup.NewController(cfg)}
@@ -49,7 +49,7 @@
 // loop lets the controller and the planner look at the time.
 func (d *duty) loop() {
 	defer d.member.done.Done()
-	ticker := time.NewTicker(d.member.deps.Pace.Tick.Duration())
+	ticker := time.NewTicker(d.member.deps.Tuning.TickInterval.Duration())
 	defer ticker.Stop()
 	for {
 		select {
@@ -206,7 +206,7 @@
 	msg := orderToWire(m.seat.Group, order)
 	msg.Controller = m.deps.Directory.Agent(m.seat.Group, m.seat.Rank)
 	if !s.mayWrite() {
-		return burdockgroup.Report{}, ErrLapsed.New("the lease has lapsed")
+		return burdockgroup.Report{}, ErrLeaseLapsed.New("the lease has lapsed")
 	}
 	m.traffic.sent(msg)
 	res, err := client.Order(ctx, connect.NewRequest(msg))
--- a/internal/serve/burdockrank/engine.go
+++ b/internal/serve/burdockrank/engine.go
@@ -121,7 +121,7 @@
 
 func (w engineWatch) loop() {
 	defer w.member.done.Done()
-	ticker := time.NewTicker(w.member.deps.Pace.Watch.Duration())
+	ticker := time.NewTicker(w.member.deps.Tuning.WatchInterval.Duration())
 	defer ticker.Stop()
 	var seen watched
 	for {
--- a/internal/serve/burdockrank/host.go
+++ b/internal/serve/burdockrank/host.go
@@ -23,23 +23,23 @@
 type Deps struct {
 	Clock  burdockclock.Clock
 	Engine burdockengine.GroupEngine
-	// Engines, if set, returns the engine of a seat, in place of Engine.
-	Engines func(Seat) burdockengine.GroupEngine
-	Store   Leases
+	// EngineFor, if set, returns the engine of a seat, in place of Engine.
+	EngineFor func(Assignment) burdockengine.GroupEngine
+	Store     LeaseStore
 	// Directory tells the seat and the peers.
 	Directory Directory
 	Peers     *burdocktransport.Peers
 	Log       *zap.Logger
-	// Remote returns the engine of another rank as it is ordered from this VM, nil
-	// if its address is not known; without Remote engines take no orders from
+	// RemoteEngine returns the engine of another rank as it is ordered from this VM, nil
+	// if its address is not known; without RemoteEngine engines take no orders from
 	// afar.
-	Remote func(group string, rank burdockid.Rank) burdockengine.GroupEngine
-	// First returns the version and content of the map that engines of a group
+	RemoteEngine func(group string, rank burdockid.Rank) burdockengine.GroupEngine
+	// InitialMap returns the version and content of the map that engines of a group
 	// begin with; nil where they begin without one.
-	First func(ranks int) (burdockid.MapVersion, []byte, error)
-	// Pace is how fast the group follows its popularity. Fields that are zero
+	InitialMap func(ranks int) (burdockid.MapVersion, []byte, error)
+	// Tuning is how fast the group follows its popularity. Fields that are zero
 	// take their defaults.
-	Pace Pace
+	Tuning Tuning
 }
 
 // Host speaks for the rank that the fleet's membership gives its upstream, if
@@ -56,7 +56,7 @@
 
 // NewHost returns the host of an upstream. Its loop must be started with Start.
 func NewHost(upstream burdockid.Upstream, deps Deps) *Host {
-	deps.Pace.setDefaults()
+	deps.Tuning.setDefaults()
 	return &Host{upstream: upstream, deps: deps, stop: make(chan struct{}), stopped: make(chan struct{})}
 }
 
@@ -85,7 +85,7 @@
 }
 
 func (h *Host) follow() {
-	want := h.deps.Directory.Seat()
+	want := h.deps.Directory.Assignment()
 	m := h.member()
 	switch {
 	case m == nil && want.Group == "", m != nil && m.seat == want:
--- a/internal/serve/burdockrank/lease.go
+++ b/internal/serve/burdockrank/lease.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// leaseSpread is the part of leaseEvery by which it varies, so that a store
+	// leaseSpread is the part of LeaseRenewInterval by which it varies, so that a store
 	// that comes back isn't met by all groups at once.
 	leaseSpread = 0.2
 	// mostStagger bounds that for large groups.
@@ -40,24 +40,24 @@
 func newLeaseKeeper(m *member, random *rand.Rand) *leaseKeeper {
 	return &leaseKeeper{
 		member: m, holder: string(m.upstream) + "/" + string(m.incarnation), random: random,
-		tenure: tenure{ttl: m.deps.Pace.LeaseTTL, outage: m.deps.Pace.LeaseOutage},
+		tenure: tenure{ttl: m.deps.Tuning.LeaseTTL, outage: m.deps.Tuning.MaxStoreOutage},
 	}
 }
 
 func (k *leaseKeeper) loop() {
 	defer k.member.done.Done()
-	wait := min(burdockclock.Millis(k.member.seat.Rank)*k.member.deps.Pace.LeaseStagger, mostStagger)
+	wait := min(burdockclock.Millis(k.member.seat.Rank)*k.member.deps.Tuning.LeaseStagger, mostStagger)
 	for k.member.sleep(wait) {
 		k.try()
 		wait = k.pause()
 	}
 }
 
-// pause is the time to the next try: leaseEvery, give or take its spread, or
-// leaseLook while the lease isn't held.
+// pause is the time to the next try: LeaseRenewInterval, give or take its spread, or
+// LeaseRetryInterval while the lease isn't held.
 func (k *leaseKeeper) pause() burdockclock.Millis {
-	every := k.member.deps.Pace.LeaseEvery
-	if look := k.member.deps.Pace.LeaseLook; look > 0 && !k.held {
+	every := k.member.deps.Tuning.LeaseRenewInterval
+	if look := k.member.deps.Tuning.LeaseRetryInterval; look > 0 && !k.held {
 		every = look
 	}
 	return burdockclock.Millis(float64(every) * (1 + leaseSpread*(k.random.Float64()-0.5)))
@@ -76,7 +76,7 @@
 		ctx, cancel = context.WithTimeout(ctx, k.patience().Duration())
 		defer cancel()
 	}
-	lease, err := m.deps.Store.Acquire(ctx, LeaseName(m.seat.Group), k.holder, m.deps.Pace.LeaseTTL)
+	lease, err := m.deps.Store.Acquire(ctx, LeaseName(m.seat.Group), k.holder, m.deps.Tuning.LeaseTTL)
 	switch {
 	case err == nil:
 		if !k.held {
@@ -103,8 +103,8 @@
 // patience bounds the renewal of a lease that is held, so that one that hangs is
 // over while the lease still stands.
 func (k *leaseKeeper) patience() burdockclock.Millis {
-	pace := k.member.deps.Pace
-	return max((pace.LeaseTTL-pace.LeaseEvery)/questionsPerLease, pace.LeaseEvery)
+	pace := k.member.deps.Tuning
+	return max((pace.LeaseTTL-pace.LeaseRenewInterval)/questionsPerLease, pace.LeaseRenewInterval)
 }
 
 // questionsPerLease is how many renewals without an answer a lease outlasts: with
--- a/internal/serve/burdockrank/member.go
+++ b/internal/serve/burdockrank/member.go
@@ -25,7 +25,7 @@
 
 // member is one stay in a group: the rank's machine and all that it works with.
 type member struct {
-	seat        Seat
+	seat        Assignment
 	upstream    burdockid.Upstream
 	incarnation burdockid.Incarnation
 	deps        Deps
@@ -57,9 +57,9 @@
 	content []byte
 }
 
-func newMember(s Seat, upstream burdockid.Upstream, deps Deps, random *rand.Rand) *member {
-	if deps.Engines != nil {
-		deps.Engine = deps.Engines(s)
+func newMember(s Assignment, upstream burdockid.Upstream, deps Deps, random *rand.Rand) *member {
+	if deps.EngineFor != nil {
+		deps.Engine = deps.EngineFor(s)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	m := &member{
@@ -118,7 +118,7 @@
 // loop lets the rank look at the time.
 func (m *member) loop() {
 	defer m.done.Done()
-	ticker := time.NewTicker(m.deps.Pace.Tick.Duration())
+	ticker := time.NewTicker(m.deps.Tuning.TickInterval.Duration())
 	defer ticker.Stop()
 	for {
 		select {
@@ -243,10 +243,10 @@
 // rememberFirst keeps the map that the engines begin with, which no controller
 // gives them.
 func (m *member) rememberFirst() {
-	if m.deps.First == nil {
+	if m.deps.InitialMap == nil {
 		return
 	}
-	version, content, err := m.deps.First(m.seat.Ranks)
+	version, content, err := m.deps.InitialMap(m.seat.Ranks)
 	if err != nil {
 		m.deps.Log.Error("the first map is not known", zap.Error(err))
 		return
--- a/internal/serve/burdockrank/pace.go
+++ b/internal/serve/burdockrank/pace.go
@@ -5,48 +5,48 @@
 	"burdockbend.example/burdockbend/internal/group/burdockgroup"
 )
 
-// Pace says how fast a group follows its popularity, and what that may cost.
-type Pace struct {
+// Tuning says how fast a group follows its popularity, and what that may cost.
+type Tuning struct {
 	// HalfLife is the age at which a count weighs half.
 	HalfLife burdockclock.Millis
-	// CountsEvery is the least time between two rounds of questions for counts.
-	CountsEvery burdockclock.Millis
+	// CountsInterval is the least time between two rounds of questions for counts.
+	CountsInterval burdockclock.Millis
 	// CountsBytesPerSecond bounds what a controller receives for its planner; 0
 	// is no bound, and then all ranks are asked at once.
 	CountsBytesPerSecond int
-	// TurnAtOnce plans on counts that break with those before without waiting for
+	// PlanOnUnconfirmedShift plans on counts that break with those before without waiting for
 	// the next to confirm them, unless they are partly of before. It suits groups
 	// whose popularity swaps at an instant and whose changes are cheap.
-	TurnAtOnce bool
-	// Gap is the least time between two changes; 0 takes the profile's.
-	Gap burdockclock.Millis
-	// CountsRanks is how many ranks are asked in one round. All ranks draw from
+	PlanOnUnconfirmedShift bool
+	// MinChangeInterval is the least time between two changes; 0 takes the profile's.
+	MinChangeInterval burdockclock.Millis
+	// SampledRanks is how many ranks are asked in one round. All ranks draw from
 	// the same requests, so some are a sample of the group.
-	CountsRanks int
-	// RankLoads returns the most experts that one change has one rank load, by
+	SampledRanks int
+	// MaxRankLoads returns the most experts that one change has one rank load, by
 	// the number of layers; nil is no bound.
-	RankLoads func(layers int) int
-	// Tick is how often ranks and controllers look at the time.
-	Tick burdockclock.Millis
+	MaxRankLoads func(layers int) int
+	// TickInterval is how often ranks and controllers look at the time.
+	TickInterval burdockclock.Millis
 	// LeaseTTL is how long a group may be without a controller after one died,
-	// and LeaseEvery how often the lease is renewed.
-	LeaseTTL   burdockclock.Millis
-	LeaseEvery burdockclock.Millis
-	// LeaseOutage is how long a controller goes on while the store doesn't answer;
+	// and LeaseRenewInterval how often the lease is renewed.
+	LeaseTTL           burdockclock.Millis
+	LeaseRenewInterval burdockclock.Millis
+	// MaxStoreOutage is how long a controller goes on while the store doesn't answer;
 	// 0 lets the lease lapse.
-	LeaseOutage burdockclock.Millis
-	// LeaseLook is how often an agent without the lease tries for it, where that
-	// costs nothing while another one has it; 0 takes LeaseEvery.
-	LeaseLook burdockclock.Millis
+	MaxStoreOutage burdockclock.Millis
+	// LeaseRetryInterval is how often an agent without the lease tries for it, where that
+	// costs nothing while another one has it; 0 takes LeaseRenewInterval.
+	LeaseRetryInterval burdockclock.Millis
 	// LeaseStagger is the time between two ranks' first tries for the lease.
 	LeaseStagger burdockclock.Millis
-	// Watch is how often the agent asks its engine for finished steps.
-	Watch burdockclock.Millis
+	// WatchInterval is how often the agent asks its engine for finished steps.
+	WatchInterval burdockclock.Millis
 	// LinkBytesPerMilli is what the link of a VM carries; 0 if it is not known, and
 	// then orders go to each agent themselves.
 	LinkBytesPerMilli float64
-	// Controller adjusts the controller's times; nil leaves the defaults.
-	Controller func(*burdockgroup.ControllerConfig)
+	// AdjustController adjusts the controller's times; nil leaves the defaults.
+	AdjustController func(*burdockgroup.ControllerConfig)
 }
 
 const (
@@ -79,23 +79,23 @@
 )
 
 // setDefaults fills in the pace for popularity that drifts through the day.
-func (p *Pace) setDefaults() {
+func (p *Tuning) setDefaults() {
 	for _, f := range []struct {
 		field *burdockclock.Millis
 		value burdockclock.Millis
 	}{
 		{&p.HalfLife, popularityHalfLife},
-		{&p.Tick, rankTick},
+		{&p.TickInterval, rankTick},
 		{&p.LeaseTTL, leaseTTL},
-		{&p.LeaseEvery, leaseEvery},
+		{&p.LeaseRenewInterval, leaseEvery},
 		{&p.LeaseStagger, leaseStagger},
-		{&p.Watch, watchEvery},
+		{&p.WatchInterval, watchEvery},
 	} {
 		if *f.field == 0 {
 			*f.field = f.value
 		}
 	}
-	if p.CountsEvery == 0 {
-		p.CountsEvery, p.CountsBytesPerSecond = countsEvery, countsBytesPerSecond
+	if p.CountsInterval == 0 {
+		p.CountsInterval, p.CountsBytesPerSecond = countsEvery, countsBytesPerSecond
 	}
 }
--- a/internal/serve/burdockrank/planning.go
+++ b/internal/serve/burdockrank/planning.go
@@ -183,7 +183,7 @@
 
 // turning reports whether the newest counts don't tell yet what the popularity is.
 func (p *planning) turning() bool {
-	if p.duty.member.deps.Pace.TurnAtOnce {
+	if p.duty.member.deps.Tuning.PlanOnUnconfirmedShift {
 		return p.popularity.ShiftMixed()
 	}
 	return p.popularity.ShiftPending()
@@ -191,7 +191,7 @@
 
 // known returns the popularity to plan on.
 func (p *planning) known() burdockexpert.Snapshot {
-	if p.duty.member.deps.Pace.TurnAtOnce {
+	if p.duty.member.deps.Tuning.PlanOnUnconfirmedShift {
 		return p.popularity.ProvisionalSnapshot()
 	}
 	return p.popularity.Snapshot()
@@ -199,7 +199,7 @@
 
 // asked returns the ranks whose counts are to be known before a first decision.
 func (p *planning) asked() []burdockid.Rank {
-	if p.duty.member.deps.Pace.CountsBytesPerSecond == 0 {
+	if p.duty.member.deps.Tuning.CountsBytesPerSecond == 0 {
 		return nil // those that answered are a sample
 	}
 	all := make([]burdockid.Rank, len(p.counts))
@@ -211,7 +211,7 @@
 
 // gap is the least time between two changes.
 func (p *planning) gap(experts burdockprofile.Experts) burdockclock.Millis {
-	if gap := p.duty.member.deps.Pace.Gap; gap > 0 {
+	if gap := p.duty.member.deps.Tuning.MinChangeInterval; gap > 0 {
 		return gap
 	}
 	return experts.HoldMillis
@@ -231,7 +231,7 @@
 	}
 	in.ExpertBytes, in.StoreRate = known.ExpertBytes, known.StoreRate
 	most := 0
-	if loads := p.duty.member.deps.Pace.RankLoads; loads != nil {
+	if loads := p.duty.member.deps.Tuning.MaxRankLoads; loads != nil {
 		most = loads(len(in.Popularity.Share))
 	}
 	for r, c := range p.counts {
--- a/internal/serve/burdockrank/proxy.go
+++ b/internal/serve/burdockrank/proxy.go
@@ -68,7 +68,7 @@
 func newProxies(m *member) *proxies {
 	return &proxies{
 		member: m, byRank: map[burdockid.Rank]*proxy{}, silent: map[burdockid.Rank]burdockclock.Millis{},
-		engines: m.deps.Remote,
+		engines: m.deps.RemoteEngine,
 	}
 }
 
--- a/internal/serve/burdockrank/relay.go
+++ b/internal/serve/burdockrank/relay.go
@@ -27,7 +27,7 @@
 }
 
 // checkRelay returns what is wrong with the orders of a branch.
-func checkRelay(req *burdockwire.GroupRelayRequest, seat Seat) error {
+func checkRelay(req *burdockwire.GroupRelayRequest, seat Assignment) error {
 	if len(req.GetOrders()) == 0 || req.GetDegree() < 1 {
 		return ErrMalformed.New("%d orders for branches of %d", len(req.GetOrders()), req.GetDegree())
 	}
--- a/internal/serve/burdockrank/relay_test.go
+++ b/internal/serve/burdockrank/relay_test.go
@@ -53,8 +53,8 @@
 	return strings.TrimPrefix(g.servers[rank].URL, "http://")
 }
 
-// Seat implements Directory.
-func (g *relayGroup) Seat() Seat { return Seat{} }
+// Assignment implements Directory.
+func (g *relayGroup) Assignment() Assignment { return Assignment{} }
 
 // Refresh implements Directory.
 func (g *relayGroup) Refresh(string) {}
@@ -72,9 +72,9 @@
 		deps := Deps{
 			Clock: burdockclock.System(), Engine: &idleEngine{}, Directory: g, Peers: burdocktransport.NewPeers(nil), Log: zap.NewNop(),
 		}
-		deps.Pace.setDefaults()
+		deps.Tuning.setDefaults()
 		host := NewHost("u", deps)
-		m := newMember(Seat{Group: "g", Rank: rank, Ranks: ranks}, "u", deps, rand.New(rand.NewPCG(1, uint64(rank))))
+		m := newMember(Assignment{Group: "g", Rank: rank, Ranks: ranks}, "u", deps, rand.New(rand.NewPCG(1, uint64(rank))))
 		host.current = m
 		m.done.Add(1)
 		go m.engine.loop()
@@ -269,7 +269,7 @@
 	for _, test := range []struct{ ranks, difference, most int }{
 		{16, 100, 64 << 10}, {72, 450, 64 << 10}, {192, 1100, 64 << 10}, {512, 3000, 160 << 10},
 	} {
-		m := &member{deps: Deps{Pace: Pace{LinkBytesPerMilli: 750}}}
+		m := &member{deps: Deps{Tuning: Tuning{LinkBytesPerMilli: 750}}}
 		bytes := 0.0
 		for _, content := range []int{test.difference, 0, 0, 0} {
 			cost := m.orderCost(content)
@@ -310,7 +310,7 @@
 		n    int
 		part float64 // of the time of calls to each, at most
 	}{{2, 1}, {15, 1}, {71, 0.6}, {191, 0.35}, {511, 0.25}} {
-		cost := (&member{deps: Deps{Pace: Pace{LinkBytesPerMilli: 750}}}).orderCost(1000)
+		cost := (&member{deps: Deps{Tuning: Tuning{LinkBytesPerMilli: 750}}}).orderCost(1000)
 		branches := cost.branches(test.n)
 		if got, most := cost.round(test.n, branches), test.part*cost.round(test.n, test.n); got > most {
 			t.Errorf("%d agents in %d branches: got %.0f ms, want %.0f ms at most", test.n, branches, got, most)
@@ -327,7 +327,7 @@
 func BenchmarkRound(b *testing.B) {
 	for _, n := range []int{16, 72, 192, 512} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			cost := (&member{deps: Deps{Pace: Pace{LinkBytesPerMilli: 750}}}).orderCost(1000)
+			cost := (&member{deps: Deps{Tuning: Tuning{LinkBytesPerMilli: 750}}}).orderCost(1000)
 			branches := 0
 			for b.Loop() {
 				branches = cost.branches(n - 1)
--- a/internal/serve/burdockrank/round.go
+++ b/internal/serve/burdockrank/round.go
@@ -47,7 +47,7 @@
 func (p *planning) sample() []burdockid.Rank {
 	ranks := p.duty.member.seat.Ranks
 	n := ranks
-	if most := p.duty.member.deps.Pace.CountsRanks; most > 0 {
+	if most := p.duty.member.deps.Tuning.SampledRanks; most > 0 {
 		n = min(n, most)
 	}
 	list := make([]burdockid.Rank, n)
@@ -84,7 +84,7 @@
 	defer p.mu.Unlock()
 	now := p.duty.sinceBoot()
 	p.asking, p.roundTook = false, now-began
-	p.askAt = max(began+p.duty.member.deps.Pace.CountsEvery, now+burdockclock.Millis(roundRest*float64(now-began)))
+	p.askAt = max(began+p.duty.member.deps.Tuning.CountsInterval, now+burdockclock.Millis(roundRest*float64(now-began)))
 	var sum [][]burdockid.Tokens
 	for rank, counts := range answers {
 		if len(counts.Tokens) == 0 || len(counts.Tokens[0]) == 0 {
--- a/internal/serve/burdockrank/speeds_test.go
+++ b/internal/serve/burdockrank/speeds_test.go
@@ -44,7 +44,7 @@
 // of it and the next map gives the rank what its speed carries.
 func TestPlannerRelievesASlowRank(t *testing.T) {
 	const ranks, experts, slots = 8, 16, 4
-	m := &member{seat: Seat{Group: "g", Ranks: ranks}, deps: Deps{Log: zap.NewNop()}}
+	m := &member{seat: Assignment{Group: "g", Ranks: ranks}, deps: Deps{Log: zap.NewNop()}}
 	p := newPlanning(&duty{member: m})
 	tokens := make([]burdockid.Tokens, experts)
 	for e := range tokens {
--- a/internal/serve/burdockrank/wire.go
+++ b/internal/serve/burdockrank/wire.go
@@ -15,8 +15,8 @@
 // ErrNotMember says that an agent is not in the group that it was asked about.
 var ErrNotMember = Errors.NewType("notMember")
 
-// ErrLapsed says that an order was not sent because the lease has lapsed.
-var ErrLapsed = Errors.NewType("lapsed")
+// ErrLeaseLapsed says that an order was not sent because the lease has lapsed.
+var ErrLeaseLapsed = Errors.NewType("lapsed")
 
 // ErrMalformed says that a message is none that a sound peer sends.
 var ErrMalformed = Errors.NewType("malformed")
