--- a/internal/decide/burdockplace/choose.go
+++ b/internal/decide/burdockplace/choose.go
@@ -4,23 +4,23 @@
 
 const (
 	maxCandidates = 16
-	// maxProbes bounds the search for candidates. With half of the fleet
-	// ejected, 32 probes all miss once in four thousand million.
+	// maxProbes limits the table lookups of one choice. With half of the fleet
+	// ejected, 32 lookups all miss once in 4 billion choices.
 	maxProbes = 32
-	// maxScan bounds the search once the probes have all missed, so that a
-	// choice never costs more in a larger fleet. Up to this many members the
-	// search is complete.
+	// maxScan limits the linear scan that follows when all lookups have missed,
+	// which keeps the cost of a choice independent of the fleet's size. With up
+	// to this many members the scan covers all of them.
 	maxScan = 64
 )
 
 // candidate is an upstream under comparison.
 type candidate struct {
-	index int32
-	score float64 // the estimated load, with the penalty of distance
-	over  bool    // beyond the bound
+	index     int32
+	score     float64 // estimated load, plus the penalty for another data centre
+	overBound bool    // load or expected wait exceeds the bound
 }
 
-// candidates is a small set without an allocation.
+// candidates is a small set that needs no allocation.
 type candidates struct {
 	list [maxCandidates]candidate
 	n    int
@@ -35,20 +35,21 @@
 	return false
 }
 
-func (c *candidates) add(one candidate) {
-	c.list[c.n] = one
+func (c *candidates) add(cand candidate) {
+	c.list[c.n] = cand
 	c.n++
 }
 
-// chooser holds what one call of Choose needs.
+// chooser holds the state of one call of Choose.
 type chooser struct {
 	p     *Placer
 	now   burdockclock.Millis
 	req   *Request
 	bound float64
 	seen  candidates
-	// key orders the members; the first width of that order are gone through
-	// from start on, round to start, and the others after them.
+	// key determines an order of the members. Of this order, nextPosition returns
+	// the first width positions beginning at start and wrapping around, and then
+	// the positions after them.
 	key    uint64
 	width  int
 	start  int
@@ -59,35 +60,36 @@
 // Choose returns the upstream that the request should be offered to. It
 // returns false when no member may be chosen.
 //
-// Made for: 350 entries before 3,800 upstreams, each with views that lag. The
-// homes of the prefix come first, because a prefix computed twice costs more
-// than a slightly longer batch. Beyond the bound the request spills to the
-// next candidates, because a full home delays everyone on it. Between
-// candidates the lower of two random ones is taken and never the lowest of
-// all: entries with the same stale view would all pick the same.
+// It is designed for 350 entries in front of 3,800 upstreams, where each entry's
+// view of the load lags. The owners of the prefix come first, because computing
+// a prefix twice costs more than a slightly longer batch. Above the load bound
+// the request overflows to further candidates, because a full owner delays every
+// request on it. Requests without a prefix go to the less loaded of two random
+// candidates instead of the least loaded of all, which all entries with the same
+// stale view would pick at once.
 func (p *Placer) Choose(now burdockclock.Millis, req Request) (Choice, bool) {
 	if len(p.table) == 0 {
 		return Choice{}, false
 	}
 	c := chooser{p: p, now: now, req: &req, bound: p.bound()}
-	// A request is offered to homes only as often as there are homes. Positions
-	// after them keep nothing of the prefix, and an upstream that reported lately
-	// is the better choice. The last offer carries no bound and must not go to a
-	// home: all that overflows from a hot prefix would be queued there.
+	// A request is offered to the prefix's owners at most once per owner. Later
+	// positions don't have the prefix cached, so an upstream that reported recently
+	// is the better choice. The last offer carries no load bound and must not go to
+	// an owner, otherwise all overflow of a hot prefix is queued there.
 	if req.Attempt < min(p.cfg.Owners, p.cfg.BoundedOffers) {
-		if choice, ok := c.home(); ok {
+		if choice, ok := c.chooseOwner(); ok {
 			return choice, true
 		}
 	}
-	if choice, ok := c.spill(); ok {
+	if choice, ok := c.chooseOverflow(); ok {
 		return choice, true
 	}
-	return c.remaining()
+	return c.chooseAny()
 }
 
-// bound returns the load beyond which a request moves on. While the fleet has
-// free slots it is at most 1: a request that queues for one slot while another
-// is free waits for nothing.
+// bound returns the load above which an upstream is passed over. While the fleet
+// has free slots it is at most 1, because a request should not queue for one slot
+// while another is free.
 func (p *Placer) bound() float64 {
 	slack := p.cfg.BoundSlack / max(p.fleet.slots, 1)
 	bound := max(p.cfg.BoundFloor, p.cfg.BoundRatio*p.fleet.mean+slack)
@@ -97,13 +99,14 @@
 	return bound
 }
 
-// home compares the upstreams that the prefix belongs to.
-func (c *chooser) home() (Choice, bool) {
+// chooseOwner chooses among the owners of the request's prefix, or among random
+// members when the request has no prefix.
+func (c *chooser) chooseOwner() (Choice, bool) {
 	cfg := &c.p.cfg
 	if len(c.req.Prefix) == 0 {
-		c.order(c.p.rnd.Uint64(), 1, 0)
+		c.setOrder(c.p.rnd.Uint64(), 1, 0)
 		c.collect(cfg.Owners)
-		return c.pick(0, ReasonNoPrefix)
+		return c.pickWithinBound(0, ReasonNoPrefix)
 	}
 	key := affinityKey(c.req.Prefix)
 	if c.req.Attempt > 0 {
@@ -114,30 +117,30 @@
 	if width > cfg.Owners {
 		reason = ReasonSpread
 	}
-	c.order(key, width, c.spread(width))
+	c.setOrder(key, width, c.startWithin(width))
 	c.collect(cfg.Owners)
-	return c.first(reason)
+	return c.firstWithinBound(reason)
 }
 
-// first takes the first home within the bound. The lower of two would send
-// the turns of one conversation to different homes, and each would compute
-// what the other keeps.
-func (c *chooser) first(reason Reason) (Choice, bool) {
-	for _, home := range c.seen.list[:c.seen.n] {
-		if !home.over {
-			return c.choice(home, reason), true
+// firstWithinBound returns the first owner within the bound. Choosing the less
+// loaded of two would send the turns of one conversation to different owners, and
+// each would compute what the other has cached.
+func (c *chooser) firstWithinBound(reason Reason) (Choice, bool) {
+	for _, owner := range c.seen.list[:c.seen.n] {
+		if !owner.overBound {
+			return c.result(owner, reason), true
 		}
 	}
 	return Choice{}, false
 }
 
-// order sets the order of members in which collect goes on.
-func (c *chooser) order(key uint64, width, start int) {
+// setOrder sets the order of members that collect follows, from its beginning.
+func (c *chooser) setOrder(key uint64, width, start int) {
 	c.key, c.width, c.start, c.next = key, width, start, 0
 }
 
-// position returns the next position in the order of members.
-func (c *chooser) position() int {
+// nextPosition returns the next position in the order of members.
+func (c *chooser) nextPosition() int {
 	i := c.next
 	c.next++
 	if i < c.width {
@@ -146,54 +149,55 @@
 	return i
 }
 
-// spread returns the position within the width of the prefix that this request
-// looks at first. What follows the prefix decides, so that the
-// turns of one conversation still meet.
-func (c *chooser) spread(width int) int {
+// startWithin returns the position, among the first width ones, that this request
+// tries first. It depends on the prompt after the prefix, so the turns of one
+// conversation still go to the same upstream.
+func (c *chooser) startWithin(width int) int {
 	key, ok := spreadKey(c.req.Prefix)
 	if !ok {
 		return c.p.rnd.IntN(width)
 	}
-	return jump(mix(key), width)
+	return jumpHash(mix(key), width)
 }
 
-// spill compares further upstreams, found at random so that what overflows
-// from a hot home does not overflow onto one other.
-func (c *chooser) spill() (Choice, bool) {
-	first := c.seen.n
-	c.order(c.p.rnd.Uint64(), 1, 0)
+// chooseOverflow chooses among random further upstreams and ones that reported
+// recently. They are random, otherwise a hot owner's overflow goes to one other
+// upstream.
+func (c *chooser) chooseOverflow() (Choice, bool) {
+	from := c.seen.n
+	c.setOrder(c.p.rnd.Uint64(), 1, 0)
 	c.collect(c.p.cfg.OverflowCandidates)
 	c.collectRecent(c.p.cfg.RecentCandidates)
 	reason := ReasonOverflow
 	if len(c.req.Prefix) == 0 {
 		reason = ReasonNoPrefix
 	}
-	if choice, ok := c.lowest(first, reason); ok {
+	if choice, ok := c.leastLoaded(from, reason); ok {
 		return choice, true
 	}
 	if c.seen.n == 0 {
 		return Choice{}, false
 	}
-	// Every candidate is beyond the bound: the fleet is full, or the view is
-	// old. The upstream's own queue decides.
-	return c.choice(c.lowerOfTwo(0, c.seen.n), ReasonSaturated), true
+	// Every candidate is over the bound: the fleet is full or the reports are
+	// stale. The upstream's own admission queue decides.
+	return c.result(c.lessLoadedOfTwo(0, c.seen.n), ReasonSaturated), true
 }
 
-// collect adds up to n candidates in the order of members of the key.
+// collect adds up to n candidates in the order that setOrder has set.
 func (c *chooser) collect(n int) {
 	for n > 0 && c.probes < maxProbes && c.seen.n < maxCandidates {
-		index := c.p.table.owner(c.key, c.position())
+		index := c.p.table.owner(c.key, c.nextPosition())
 		c.probes++
 		if c.seen.has(index) || !c.eligible(index) {
 			continue
 		}
-		c.seen.add(c.measure(index))
+		c.seen.add(c.newCandidate(index))
 		n--
 	}
 }
 
-// eligible reports whether the member may get this request. A weight between
-// 0 and 1 lets that share of requests pass.
+// eligible reports whether the member may get this request. A member with a
+// weight between 0 and 1 is eligible for that share of the requests.
 func (c *chooser) eligible(index int32) bool {
 	m := &c.p.members[index]
 	if !c.allowed(m) {
@@ -209,87 +213,88 @@
 	return c.req.Exclude == nil || !c.req.Exclude(m.upstream)
 }
 
-func (c *chooser) measure(index int32) candidate {
+func (c *chooser) newCandidate(index int32) candidate {
 	m := &c.p.members[index]
 	load := c.p.estimate(c.now, m)
-	wait := float64(m.wait) * c.p.trust(c.now, m)
-	one := candidate{index: index, score: load}
-	one.over = load > c.bound || wait > float64(c.p.cfg.WaitBound)
+	wait := float64(m.wait) * c.p.reportWeight(c.now, m)
+	cand := candidate{index: index, score: load}
+	cand.overBound = load > c.bound || wait > float64(c.p.cfg.WaitBound)
 	if m.dataCentre != c.req.DataCentre {
-		one.score += c.p.cfg.RemotePenalty
+		cand.score += c.p.cfg.RemotePenalty
 	}
-	return one
+	return cand
 }
 
-// pick takes the lower of two random candidates, from first on, that are
-// within the bound.
-func (c *chooser) pick(first int, reason Reason) (Choice, bool) {
-	within := first
+// pickWithinBound returns the less loaded of two random candidates within the
+// bound, leaving out those before index from.
+func (c *chooser) pickWithinBound(from int, reason Reason) (Choice, bool) {
+	within := from
 	list := &c.seen.list
-	for i := first; i < c.seen.n; i++ {
-		if list[i].over {
+	for i := from; i < c.seen.n; i++ {
+		if list[i].overBound {
 			continue
 		}
 		list[within], list[i] = list[i], list[within]
 		within++
 	}
-	if within == first {
+	if within == from {
 		return Choice{}, false
 	}
-	return c.choice(c.lowerOfTwo(first, within), reason), true
+	return c.result(c.lessLoadedOfTwo(from, within), reason), true
 }
 
-// lowest takes the lowest candidate, from first on, that is within the bound.
-func (c *chooser) lowest(first int, reason Reason) (Choice, bool) {
+// leastLoaded returns the least loaded candidate within the bound, leaving out
+// those before index from.
+func (c *chooser) leastLoaded(from int, reason Reason) (Choice, bool) {
 	best := -1
-	for i := first; i < c.seen.n; i++ {
-		one := &c.seen.list[i]
-		if !one.over && (best < 0 || one.score < c.seen.list[best].score) {
+	for i := from; i < c.seen.n; i++ {
+		cand := &c.seen.list[i]
+		if !cand.overBound && (best < 0 || cand.score < c.seen.list[best].score) {
 			best = i
 		}
 	}
 	if best < 0 {
 		return Choice{}, false
 	}
-	return c.choice(c.seen.list[best], reason), true
+	return c.result(c.seen.list[best], reason), true
 }
 
-func (c *chooser) lowerOfTwo(first, end int) candidate {
+func (c *chooser) lessLoadedOfTwo(from, end int) candidate {
 	list := &c.seen.list
-	n := end - first
-	a := first + c.p.rnd.IntN(n)
+	n := end - from
+	a := from + c.p.rnd.IntN(n)
 	if n == 1 {
 		return list[a]
 	}
-	b := first + (a-first+1+c.p.rnd.IntN(n-1))%n
+	b := from + (a-from+1+c.p.rnd.IntN(n-1))%n
 	if list[b].score < list[a].score {
 		return list[b]
 	}
 	return list[a]
 }
 
-func (c *chooser) choice(one candidate, reason Reason) Choice {
-	chosen := &c.p.members[one.index]
+func (c *chooser) result(cand candidate, reason Reason) Choice {
+	chosen := &c.p.members[cand.index]
 	if !c.allowed(chosen) {
-		panic("burdockplace: chose an upstream that may get nothing: " + string(chosen.upstream))
+		panic("burdockplace: chose an upstream that is excluded or has weight 0: " + string(chosen.upstream))
 	}
-	choice := Choice{Upstream: chosen.upstream, Reason: reason, Candidates: c.seen.n}
+	result := Choice{Upstream: chosen.upstream, Reason: reason, Candidates: c.seen.n}
 	if c.req.Attempt < c.p.cfg.BoundedOffers && reason != ReasonSaturated {
-		choice.MaxLoad = c.bound
+		result.MaxLoad = c.bound
 	}
-	return choice
+	return result
 }
 
-// remaining searches a bounded part of the members, from a random one on, for
-// any that may get the request, however small its weight.
-func (c *chooser) remaining() (Choice, bool) {
+// chooseAny scans up to maxScan members from a random one on and returns the first
+// that is allowed, however small its weight.
+func (c *chooser) chooseAny() (Choice, bool) {
 	n := len(c.p.members)
 	start := c.p.rnd.IntN(n)
 	for i := range min(n, maxScan) {
 		index := (start + i) % n
 		if c.allowed(&c.p.members[index]) {
-			c.seen.add(c.measure(int32(index)))
-			return c.choice(c.seen.list[0], ReasonRemaining), true
+			c.seen.add(c.newCandidate(int32(index)))
+			return c.result(c.seen.list[0], ReasonRemaining), true
 		}
 	}
 	return Choice{}, false
--- a/internal/decide/burdockplace/member.go
+++ b/internal/decide/burdockplace/member.go
@@ -7,8 +7,9 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// member is what the placer keeps for an upstream. There are thousands, so
-// that the small types matter: an entry has 32 MB for all of control.
+// member is the state that the placer keeps for an upstream. There are thousands
+// of them and an entry has 32 MB for its whole control plane, hence the small
+// types.
 type member struct {
 	upstream   burdockid.Upstream
 	dataCentre burdockid.DataCentre
@@ -16,17 +17,17 @@
 	weight     float32
 	load       float32 // as reported
 	wait       int32   // as reported, in milliseconds
-	slots      int32   // 0: never reported
-	unreported int32   // own requests sent, less those done, since the report
-	inFlight   int32   // own requests sent and not done
+	slots      int32   // as reported; 0 before the first report
+	unreported int32   // requests sent minus requests done since the report; may be negative
+	inFlight   int32   // requests sent by this entry and not done
 }
 
 // fleetLoad is a moving mean over the reports of all upstreams.
 //
-// Made for: an entry that sees 18 answers a second of 3,800 upstreams. It
-// hears of each upstream every few minutes, far too seldom to know any; but 64
-// reports, three and a half seconds of answers, tell the mean within a few per
-// cent, and the mean is what a bound needs.
+// An entry that gets 18 answers a second from 3,800 upstreams receives a report of
+// each only every few minutes, too seldom to know the load of any single one. The
+// load bound needs only the mean, which 64 reports, 3.5 seconds of answers, give
+// within a few per cent.
 type fleetLoad struct {
 	mean    float64
 	slots   float64
@@ -42,7 +43,7 @@
 	f.slots += share * (float64(r.Slots) - f.slots)
 }
 
-// Sent tells that a request of this cost has been offered to u.
+// Sent records that a request of this cost has been offered to u.
 func (p *Placer) Sent(_ burdockclock.Millis, u burdockid.Upstream, _ burdockid.Tokens) {
 	m := p.lookup(u)
 	if m == nil {
@@ -52,11 +53,11 @@
 	m.unreported++
 }
 
-// Done tells that a request that was offered to u has ended there, by its
-// answer, a refusal or a failure.
+// Done records that a request that was offered to u has ended with an answer, a
+// refusal or a failure.
 func (p *Placer) Done(_ burdockclock.Millis, u burdockid.Upstream, _ burdockid.Tokens) {
 	m := p.lookup(u)
-	// An upstream that left and came back has forgotten what was sent before.
+	// A member that was removed and added again starts with no requests in flight.
 	if m == nil || m.inFlight == 0 {
 		return
 	}
@@ -65,8 +66,9 @@
 	m.verify()
 }
 
-// Report tells the load that u reported. Where one message both ends a request
-// and carries a report, Done comes first: the report no longer counts it.
+// Report records a load report of u. When one message both ends a request and
+// carries a report, call Done first, because the report no longer counts that
+// request.
 func (p *Placer) Report(now burdockclock.Millis, u burdockid.Upstream, r Report) {
 	p.fleet.add(r)
 	index, ok := p.find(u)
@@ -82,8 +84,8 @@
 	p.recent.add(int32(index))
 }
 
-// SetWeight changes the weight of one member, as ejection does by degrees. It
-// moves no prefix: a member that returns finds its own again.
+// SetWeight changes the weight of one member; ejection changes it in steps. The
+// member still owns the same prefixes when its weight is raised again.
 func (p *Placer) SetWeight(u burdockid.Upstream, weight float64) {
 	if m := p.lookup(u); m != nil {
 		m.weight = clampWeight(weight)
@@ -98,30 +100,30 @@
 	return &p.members[index]
 }
 
-// estimate returns the load that m is believed to have now.
+// estimate returns the estimated load of m.
 //
-// The report counts less the older it is, and the mean of the fleet takes its
-// place; own requests since the report are added in full, since the report
-// cannot know them. Without that, all requests between two reports would go
-// to whichever upstream was reported idle.
+// The older the last report is, the more the fleet's mean replaces it. Requests
+// that this entry sent since the report are added in full, because the report
+// doesn't include them. Without them, all requests between two reports go to
+// whichever upstream reported idle.
 func (p *Placer) estimate(now burdockclock.Millis, m *member) float64 {
 	if m.slots == 0 {
 		return p.fleet.mean + float64(max(m.unreported, 0))/max(p.fleet.slots, 1)
 	}
-	trust := p.trust(now, m)
+	reportWeight := p.reportWeight(now, m)
 	own := float64(m.unreported) / float64(m.slots)
-	return p.fleet.mean + trust*(float64(m.load)-p.fleet.mean) + own
+	return p.fleet.mean + reportWeight*(float64(m.load)-p.fleet.mean) + own
 }
 
-func (p *Placer) trust(now burdockclock.Millis, m *member) float64 {
+func (p *Placer) reportWeight(now burdockclock.Millis, m *member) float64 {
 	age := max(now-m.reportedAt, 0)
 	return math.Exp2(-float64(age) / float64(p.cfg.ReportHalfLife))
 }
 
-// verify panics when the counts of m contradict each other.
+// verify panics when the request counts of m are inconsistent.
 func (m *member) verify() {
 	if m.inFlight < 0 || m.unreported > m.inFlight {
-		panic("burdockplace: counts of " + string(m.upstream) + " contradict each other")
+		panic("burdockplace: counts of " + string(m.upstream) + " are inconsistent")
 	}
 }
 
--- a/internal/decide/burdockplace/members.go
+++ b/internal/decide/burdockplace/members.go
@@ -8,9 +8,9 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// SetMembers replaces the members. Those that stay keep their load. It costs
-// some milliseconds when upstreams join or leave, and a copy otherwise, so a
-// caller that hears of several changes at once should pass them together.
+// SetMembers replaces the members. Those that stay keep their load. It takes a few
+// milliseconds when upstreams join or leave and only a copy otherwise, so callers
+// should pass several changes together.
 func (p *Placer) SetMembers(_ burdockclock.Millis, members []Member) {
 	sorted := slices.Clone(members)
 	slices.SortFunc(sorted, func(a, b Member) int {
--- a/internal/decide/burdockplace/place.go
+++ b/internal/decide/burdockplace/place.go
@@ -1,12 +1,13 @@
 // Package burdockplace chooses the upstream that a request is offered to.
 //
-// An entry keeps one Placer for each service. The placer knows nothing of
-// caches: the leading blocks of the prompt are hashed to a few upstreams, the
-// same ones at every entry, so that requests with one prefix meet one cache
-// without any exchange of cache state. Load decides among those few.
+// An entry keeps one Placer for each service. The placer doesn't track the contents
+// of prefix caches. It hashes the leading blocks of the prompt to a few upstreams,
+// the owners of the prefix, which are the same at every entry. Requests with the
+// same prefix thus reach the same caches without any exchange of cache state. Load
+// decides among the owners.
 //
-// The package is pure: time and randomness are passed in. A Placer is not
-// safe for concurrent use; its owner holds a lock around each call.
+// The package does no I/O: time and randomness are passed in. A Placer is not
+// safe for concurrent use; callers hold a lock around each call.
 package burdockplace
 
 import (
@@ -16,68 +17,68 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// Member is an upstream that the service may be placed on.
+// Member is an upstream of the service.
 type Member struct {
 	Upstream   burdockid.Upstream
 	DataCentre burdockid.DataCentre
-	// Weight is the share of its usual work that the upstream should get, from
-	// 0 (nothing) to 1 (all of it). It does not express capacity: the slots in
-	// a report do.
+	// Weight is the share of its normal traffic that the upstream should get, from
+	// 0 (none) to 1 (all). It does not express capacity, which is given by
+	// the slots in a report.
 	Weight float64
 }
 
-// Request is what a choice depends on.
+// Request describes the request that Choose places.
 type Request struct {
 	// Prefix holds the hashes of the prompt's leading blocks, shortest prefix
-	// first, as PrefixBlocks returns them. It is empty when no cache can help.
+	// first, as PrefixBlocks returns them. It is empty when caching doesn't help.
 	Prefix []uint64
 	// DataCentre is where the entry runs.
 	DataCentre burdockid.DataCentre
-	// Cost is the work that the request is expected to bring.
+	// Cost is the expected cost of the request.
 	Cost burdockid.Tokens
-	// Attempt counts the offers of this request that upstreams refused. Those
-	// that were never sent do not count: they say nothing of the load.
+	// Attempt is the number of offers of this request that upstreams refused.
+	// Offers that could not be sent don't count, as they don't indicate load.
 	Attempt int
-	// Exclude reports the upstreams that must not be chosen, such as those
-	// that refused this request. It may be nil.
+	// Exclude reports whether an upstream must not be chosen, for example because
+	// it refused this request. It may be nil.
 	Exclude func(burdockid.Upstream) bool
 }
 
-// Reason says why an upstream was chosen.
+// Reason is why an upstream was chosen.
 type Reason string
 
 // Reasons for a choice.
 const (
-	// ReasonAffinity: the prefix hashes to this upstream, and it has room.
+	// ReasonAffinity means that the upstream owns the prefix and is within the bound.
 	ReasonAffinity Reason = "affinity"
-	// ReasonSpread: the prefix is hot and this is one of the upstreams that it
-	// is spread over.
+	// ReasonSpread means that the prefix is hot and the upstream is one of those
+	// that it is spread over.
 	ReasonSpread Reason = "spread"
-	// ReasonOverflow: the upstreams of the prefix are loaded beyond the bound.
+	// ReasonOverflow means that the owners of the prefix are over the bound.
 	ReasonOverflow Reason = "spill"
-	// ReasonNoPrefix: the request has no prefix worth caching.
+	// ReasonNoPrefix means that the request has no prefix worth caching.
 	ReasonNoPrefix Reason = "noPrefix"
-	// ReasonSaturated: every candidate is loaded beyond the bound.
+	// ReasonSaturated means that every candidate is over the bound.
 	ReasonSaturated Reason = "saturated"
-	// ReasonRemaining: the hashed candidates are all excluded or ejected, and
-	// this upstream was found by a bounded search.
+	// ReasonRemaining means that the hashed candidates are all excluded or ejected
+	// and a bounded scan of the members found this upstream.
 	ReasonRemaining Reason = "remaining"
 )
 
-// Choice is the outcome of Choose.
+// Choice is the result of Choose.
 type Choice struct {
 	Upstream burdockid.Upstream
 	Reason   Reason
-	// Candidates is how many upstreams were compared.
+	// Candidates is the number of upstreams that were compared.
 	Candidates int
-	// MaxLoad is the load, as Report.Load counts it, that the upstream may have
-	// with this request added; beyond it, it should refuse the offer at once, so
-	// that it can go to a less loaded one. It is 0 when the upstream should
-	// apply no bound but its own.
+	// MaxLoad is the maximum load, in terms of Report.Load, that the upstream may
+	// have including this request. Above it the upstream should refuse the offer
+	// at once, and the request goes to a less loaded one. It is 0 when only the
+	// upstream's own limits apply.
 	MaxLoad float64
 }
 
-// Report is the load that an upstream tells on an answer or a refusal.
+// Report is the load that an upstream reports with an answer or a refusal.
 type Report struct {
 	Running      int
 	Queued       int
@@ -86,8 +87,8 @@
 	ExpectedWait burdockclock.Millis
 }
 
-// Load returns the requests held for each slot: 1 means every slot is taken
-// and nothing waits.
+// Load returns the number of running and queued requests per slot. It is 1 when
+// every slot is taken and nothing is queued.
 func (r Report) Load() float64 {
 	return float64(r.Running+r.Queued) / float64(max(r.Slots, 1))
 }
@@ -104,8 +105,8 @@
 	widths  widths
 }
 
-// New returns a placer without members. The source rnd must be used by
-// nothing else; fields of cfg that are zero take their defaults.
+// New returns a placer without members. Nothing else may use rnd. Fields of cfg
+// that are zero take their defaults.
 func New(cfg Config, rnd *rand.Rand) *Placer {
 	return &Placer{cfg: cfg.withDefaults(), rnd: rnd}
 }
--- a/internal/decide/burdockplace/place_test.go
+++ b/internal/decide/burdockplace/place_test.go
@@ -40,22 +40,22 @@
 	// Output: llm-pool-1 noPrefix true
 }
 
-func TestEntriesAgreeOnHomes(t *testing.T) {
+func TestEntriesAgreeOnOwners(t *testing.T) {
 	a, b := testPlacer(16, 1), testPlacer(16, 2)
 	prefix := PrefixBlocks(strings.Repeat("netlist ", 200))
-	homes := make(map[burdockid.Upstream]bool)
+	owners := make(map[burdockid.Upstream]bool)
 	for range 50 {
 		for _, p := range []*Placer{a, b} {
 			choice, _ := p.Choose(0, Request{Prefix: prefix, DataCentre: "hall-0"})
-			homes[choice.Upstream] = true
+			owners[choice.Upstream] = true
 		}
 	}
-	if got, want := len(homes), defaultHome; got > want {
-		t.Errorf("homes of one prefix = %d, want at most %d", got, want)
+	if got, want := len(owners), defaultOwners; got > want {
+		t.Errorf("owners of one prefix = %d, want at most %d", got, want)
 	}
 }
 
-func TestLeavingMemberMovesOnlyItsOwnPrefixes(t *testing.T) {
+func TestLeavingMemberMovesOnlyItsPrefixes(t *testing.T) {
 	const n = 200
 	members := testMembers(n)
 	names := make([]burdockid.Upstream, n)
@@ -88,11 +88,10 @@
 	}
 }
 
-// One home of a prefix has reported that it is full. The entry still gets
-// requests with that prefix. Each must go to the other home, or further on,
-// since a full home delays everyone on it; and once the report is old the home
-// must be tried again, since nobody tells an entry that it has room.
-func TestFullHomeIsLeftAloneUntilTheReportIsOld(t *testing.T) {
+// One owner of a prefix has reported that it is full. Requests with that prefix must
+// go elsewhere, because a full owner delays every request on it. Once the report is
+// old the owner must be tried again, because no message announces free slots.
+func TestFullOwnerIsAvoidedUntilReportIsOld(t *testing.T) {
 	p := testPlacer(16, 3)
 	prefix := PrefixBlocks(strings.Repeat("royalty ", 200))
 	req := Request{Prefix: prefix, DataCentre: "hall-0"}
@@ -104,30 +103,29 @@
 	for range 100 {
 		choice, _ := p.Choose(1, req)
 		if choice.Upstream == first.Upstream {
-			t.Fatalf("chose %s again, want another than the full one", choice.Upstream)
+			t.Fatalf("chose %s again, want an upstream other than the full one", choice.Upstream)
 		}
 	}
-	again := false
+	retried := false
 	for range 100 {
 		choice, _ := p.Choose(burdockclock.Minute, req)
-		again = again || choice.Upstream == first.Upstream
+		retried = retried || choice.Upstream == first.Upstream
 	}
-	if !again {
-		t.Errorf("%s never chosen a minute after its report, want it tried", first.Upstream)
+	if !retried {
+		t.Errorf("%s never chosen a minute after its report, want it tried again", first.Upstream)
 	}
 }
 
-// All requests of a burst begin with one system prompt. Its homes refuse them,
-// as they are full; each request is offered again elsewhere. After a few
-// refusals the entry must spread the prefix by itself, or every later request
-// would first pay for the refusals of its homes.
+// All requests of a burst begin with one system prompt, whose owners are full and
+// refuse them. After a few refusals the entry must spread the prefix over more
+// upstreams, otherwise every later request is first refused by the owners.
 func TestHotPrefixSpreads(t *testing.T) {
 	p := testPlacer(3800, 4)
-	refused := func(burdockid.Upstream) bool { return false }
+	excludeNone := func(burdockid.Upstream) bool { return false }
 	chosen := make(map[burdockid.Upstream]int)
 	for i := range 400 {
 		prompt := strings.Repeat("system prompt ", 80) + fmt.Sprintf("%-512d", i)
-		req := Request{Prefix: PrefixBlocks(prompt), Exclude: refused}
+		req := Request{Prefix: PrefixBlocks(prompt), Exclude: excludeNone}
 		if i < 10 {
 			req.Attempt = 1
 		}
@@ -139,7 +137,7 @@
 	}
 }
 
-func TestExcludedAndEjectedGetNothing(t *testing.T) {
+func TestExcludedAndEjectedAreNotChosen(t *testing.T) {
 	p := testPlacer(16, 5)
 	for i := 1; i < 16; i++ {
 		p.SetWeight(burdockid.Upstream(fmt.Sprintf("replica-%04d", i)), 0)
@@ -154,9 +152,9 @@
 	}
 }
 
-// A report was given before the entry's own requests arrived. Were those not
-// added, all of a burst would go to the upstream that was reported idle.
-func TestOwnRequestsCountUntilTheNextReport(t *testing.T) {
+// A report doesn't include the requests that the entry has sent since. Unless they
+// are added, a whole burst goes to the upstream with the lowest report.
+func TestSentRequestsCountUntilNextReport(t *testing.T) {
 	p := testPlacer(2, 6)
 	p.Report(0, "replica-0000", Report{Running: 4, Slots: 16})
 	p.Report(0, "replica-0001", Report{Running: 8, Slots: 16})
@@ -167,7 +165,7 @@
 		counts[choice.Upstream]++
 	}
 	if got := counts["replica-0000"]; got < 18 || got > 30 {
-		t.Errorf("the one reported idle got %d of 40, want it filled up to the other and no more", got)
+		t.Errorf("the upstream with the lower reported load got %d of 40 requests, want 18 to 30", got)
 	}
 }
 
@@ -223,11 +221,10 @@
 	}
 }
 
-// The homes of a prefix refuse as full. The request spills; of the other
-// upstreams the entry knows only the few that reported in the last second.
-// The one of them with room must be found, since a blind choice would be
-// refused again as often as not.
-func TestSpillFindsWhatReportedLately(t *testing.T) {
+// A request overflows, and the entry knows the load only of the few upstreams that
+// reported in the last second. It must find the one of them with free slots, because
+// a random upstream is often full and refuses the request again.
+func TestOverflowFindsRecentReport(t *testing.T) {
 	p := testPlacer(3800, 10)
 	for i := range 31 {
 		p.Report(0, burdockid.Upstream(fmt.Sprintf("replica-%04d", i)), Report{Running: 16, Slots: 16})
@@ -235,12 +232,12 @@
 	p.Report(0, "replica-0031", Report{Running: 4, Slots: 16})
 	found := 0
 	for range 1000 {
-		choice, _ := p.Choose(0, Request{Attempt: defaultOffers})
+		choice, _ := p.Choose(0, Request{Attempt: defaultBoundedOffers})
 		if choice.Upstream == "replica-0031" {
 			found++
 		}
 	}
 	if got, want := found, 100; got < want {
-		t.Errorf("the one with room was found %d times of 1000, want at least %d", got, want)
+		t.Errorf("the upstream with free slots was chosen %d times of 1000, want at least %d", got, want)
 	}
 }
--- a/internal/decide/burdockplace/prefix.go
+++ b/internal/decide/burdockplace/prefix.go
@@ -9,18 +9,19 @@
 const (
 	// BlockBytes is the length of one block of a prompt, about 64 tokens.
 	BlockBytes = 256
-	// maxBlocks bounds the work for a long prompt: what tells one prompt from
-	// another lies within its first 8 KB.
+	// maxBlocks limits the hashing of a long prompt to its first 8 KB, within which
+	// prompts differ.
 	maxBlocks = 32
-	// affinityBlocks is the depth that names the homes of a prefix: 1 KB, so
-	// that a conversation keeps its homes as it grows.
+	// affinityBlocks is the number of leading blocks that determine the owners of
+	// a prefix. It is only 1 KB, so that a conversation keeps its owners as it
+	// grows.
 	affinityBlocks = 4
 )
 
-// PrefixBlocks returns a hash for each leading prefix of whole blocks,
-// shortest first. Each hash covers all the blocks before its own too, as the
-// keys of an engine's prefix cache do. A prompt of less than a block has none:
-// computing it again costs less than the detour to a certain upstream.
+// PrefixBlocks returns a hash for each leading prefix of whole blocks, shortest
+// first. Like the keys of an engine's prefix cache, each hash covers its block and
+// all blocks before it. A prompt shorter than a block has no hashes, because
+// computing it again costs less than being tied to certain upstreams.
 func PrefixBlocks(prompt string) []uint64 {
 	n := min(len(prompt)/BlockBytes, maxBlocks)
 	if n == 0 {
@@ -42,15 +43,15 @@
 	return hashes
 }
 
-// affinityKey returns the hash that names the homes of a prefix.
+// affinityKey returns the hash that determines the owners of a prefix.
 func affinityKey(prefix []uint64) uint64 {
 	return prefix[min(len(prefix), affinityBlocks)-1]
 }
 
-// spreadKey returns the hash that picks one of the upstreams that a hot prefix
-// is spread over, or false when nothing follows the prefix. It is taken at a
-// power of two of further blocks, so that the turns of one conversation, each
-// longer than the last, seldom change their place.
+// spreadKey returns the hash that selects one of the upstreams that a hot prefix
+// is spread over, or false when nothing follows the prefix. It covers the largest
+// power of two of the blocks after the prefix. The turns of one conversation, each
+// longer than the previous one, therefore rarely change their upstream.
 func spreadKey(prefix []uint64) (uint64, bool) {
 	further := len(prefix) - affinityBlocks
 	if further <= 0 {
--- a/internal/decide/burdockplace/recent.go
+++ b/internal/decide/burdockplace/recent.go
@@ -2,18 +2,19 @@
 
 import "burdockbend.example/burdockbend/internal/base/burdockclock"
 
-// recent holds the upstreams of the latest reports.
+// recent is a ring buffer of the upstreams that sent the latest reports.
 //
-// Made for: an entry that hears of each of 3,800 upstreams every few minutes.
-// Of upstreams drawn at random it knows nothing; of those that reported within
-// the last seconds it knows nearly all, and the least loaded of a few of them
-// has room. Each entry remembers others, so that they do not herd.
+// An entry receives a report of each of 3,800 upstreams only every few minutes, so
+// it doesn't know the load of upstreams drawn at random. It does know the load of
+// those that reported within the last seconds, and the least loaded of a few of
+// them has free slots. Every entry remembers different ones, which keeps entries
+// from all choosing the same upstream.
 type recent struct {
 	upstreams [recentReports]int32
 	n         int
 }
 
-// recentReports is about a second of answers and refusals.
+// recentReports is the size of the buffer, about a second of answers and refusals.
 const recentReports = 32
 
 func (r *recent) add(index int32) {
@@ -21,7 +22,7 @@
 	r.n++
 }
 
-// collectRecent adds up to n candidates that reported lately.
+// collectRecent adds up to n candidates that reported recently.
 func (c *chooser) collectRecent(n int) {
 	r := &c.p.recent
 	known := min(r.n, recentReports)
@@ -30,15 +31,16 @@
 	}
 	for range n {
 		index := r.upstreams[c.p.rnd.IntN(known)]
-		if c.seen.n == maxCandidates || c.seen.has(index) || !c.fresh(index) || !c.eligible(index) {
+		if c.seen.n == maxCandidates || c.seen.has(index) || !c.hasFreshReport(index) || !c.eligible(index) {
 			continue
 		}
-		c.seen.add(c.measure(index))
+		c.seen.add(c.newCandidate(index))
 	}
 }
 
-// fresh reports whether the latest report of the member still counts for half.
-func (c *chooser) fresh(index int32) bool {
+// hasFreshReport reports whether the member's last report is at most one half-life
+// old.
+func (c *chooser) hasFreshReport(index int32) bool {
 	age := c.now - c.p.members[index].reportedAt
 	return age <= burdockclock.Millis(c.p.cfg.ReportHalfLife)
 }
--- a/internal/decide/burdockplace/state.go
+++ b/internal/decide/burdockplace/state.go
@@ -5,7 +5,7 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// State is what a dump of the process shows of a placer.
+// State is the part of the state dump that describes a placer.
 type State struct {
 	MeanLoad    float64          `json:"meanLoad"`
 	Bound       float64          `json:"bound"`
@@ -13,7 +13,7 @@
 	HotPrefixes []HotPrefixState `json:"hot"`
 }
 
-// MemberState is what a dump shows of one upstream.
+// MemberState is the part of the state dump that describes one upstream.
 type MemberState struct {
 	Upstream     burdockid.Upstream   `json:"upstream"`
 	DataCentre   burdockid.DataCentre `json:"dataCentre"`
@@ -25,14 +25,14 @@
 	InFlight     int                  `json:"inFlight"`
 }
 
-// HotPrefixState is what a dump shows of one prefix that has been spread.
+// HotPrefixState is the part of the state dump that describes one hot prefix.
 type HotPrefixState struct {
 	Prefix uint64              `json:"prefix"`
 	Width  float64             `json:"width"`
 	At     burdockclock.Millis `json:"at"`
 }
 
-// State returns a copy of what the placer knows.
+// State returns a copy of the placer's state.
 func (p *Placer) State() State {
 	s := State{
 		MeanLoad:    p.fleet.mean,
@@ -43,9 +43,9 @@
 	for i := range p.members {
 		s.Upstreams[i] = p.members[i].state()
 	}
-	for _, place := range p.widths.places {
-		if place.value > 0 {
-			s.HotPrefixes = append(s.HotPrefixes, HotPrefixState{Prefix: place.key, Width: float64(place.value), At: place.at})
+	for _, entry := range p.widths.entries {
+		if entry.width > 0 {
+			s.HotPrefixes = append(s.HotPrefixes, HotPrefixState{Prefix: entry.key, Width: float64(entry.width), At: entry.updatedAt})
 		}
 	}
 	return s
--- a/internal/decide/burdockplace/state_test.go
+++ b/internal/decide/burdockplace/state_test.go
@@ -10,10 +10,10 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// Any order of requests, answers, reports and changes of members: a choice is
-// a member that may get the request, one is found whenever there is one, and
-// the counts never contradict each other.
-func TestAnyOrder(t *testing.T) {
+// For any order of requests, answers, reports and changes of members: a choice is a
+// member that is allowed, one is found whenever one exists, and the request counts
+// stay consistent.
+func TestPlacerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := New(Config{}, rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)))
 		now := burdockclock.Second
@@ -24,7 +24,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"pass": func(t *rapid.T) { now += burdockclock.Millis(rapid.IntRange(0, 60_000).Draw(t, "ms")) },
 			"members": func(t *rapid.T) {
-				// Building the table is the one slow step here.
+				// Members change rarely, because building the table is slow.
 				if rapid.IntRange(0, 9).Draw(t, "rarely") > 0 {
 					return
 				}
@@ -41,8 +41,8 @@
 					Exclude: func(u burdockid.Upstream) bool { return u == excluded },
 				}
 				choice, ok := p.Choose(now, req)
-				if want := hasRoom(p, excluded); ok != want {
-					t.Fatalf("Choose found one: %t, want %t", ok, want)
+				if want := hasAllowedMember(p, excluded); ok != want {
+					t.Fatalf("Choose found an upstream: %t, want %t", ok, want)
 				}
 				if ok {
 					checkChoice(t, p, choice, excluded)
@@ -68,7 +68,7 @@
 	})
 }
 
-func hasRoom(p *Placer, excluded burdockid.Upstream) bool {
+func hasAllowedMember(p *Placer, excluded burdockid.Upstream) bool {
 	for _, m := range p.members {
 		if m.weight > 0 && m.upstream != excluded {
 			return true
@@ -80,7 +80,7 @@
 func checkChoice(t *rapid.T, p *Placer, choice Choice, excluded burdockid.Upstream) {
 	m := p.lookup(choice.Upstream)
 	if m == nil || m.weight == 0 || choice.Upstream == excluded {
-		t.Fatalf("chose %q, want a member that may get the request", choice.Upstream)
+		t.Fatalf("chose %q, want a member that is allowed", choice.Upstream)
 	}
 	if choice.Candidates < 1 || choice.Candidates > maxCandidates {
 		t.Fatalf("candidates = %d, want 1 to %d", choice.Candidates, maxCandidates)
--- a/internal/decide/burdockplace/table.go
+++ b/internal/decide/burdockplace/table.go
@@ -10,29 +10,28 @@
 
 const (
 	tableBits = 16
-	// tableSlots is fixed, whatever the number of members: if it followed that
-	// number, two entries whose member lists differ by one could disagree on
-	// every prefix. 65,536 slots give 3,800 members 17 each.
+	// tableSlots doesn't depend on the number of members. If it did, two entries
+	// whose member lists differ by one could disagree on every prefix. 65,536
+	// slots give each of 3,800 members 17.
 	tableSlots = 1 << tableBits
-	// maxMembers is what an owner's 16 bits can number.
+	// maxMembers is the number of members that fits the table's 16-bit indices.
 	maxMembers = 1<<16 - 1
 )
 
 // table maps each slot to the index of the member that owns it. It is nil
 // when there are no members.
 //
-// Members bid for slots in rounds. In each round every member bids for one
-// slot that only its name and the round determine; a slot goes to the bid of
-// the earliest round, and among those of one round to the highest. An owner is
-// thus the best of bids that do not depend on each other, as in rendezvous
-// hashing: a member that leaves gives up its own slots and moves no other, one
-// that joins takes only what it wins. Yet building takes about
-// tableSlots*ln(tableSlots) bids however many members there are, where plain
-// rendezvous hashing computes one for each pair of slot and member.
+// Members bid for slots in rounds. In each round every member bids for one slot,
+// which depends only on its name and the round. A slot goes to the bid of the
+// earliest round and, within a round, to the highest bid. As in rendezvous hashing
+// the bids don't depend on each other: a member that leaves gives up only its own
+// slots, and one that joins takes only the slots that it wins. Building the table
+// takes about tableSlots*ln(tableSlots) bids for any number of members, while
+// plain rendezvous hashing computes one for each pair of slot and member.
 type table []uint16
 
 // newTable returns the table for members with these names. The order of names
-// decides nothing but the indices.
+// affects only the indices.
 func newTable(names []burdockid.Upstream) table {
 	if len(names) == 0 {
 		return nil
@@ -42,7 +41,7 @@
 		seeds[i] = xxhash.Sum64String(string(name))
 	}
 	owners := make(table, tableSlots)
-	rounds := make([]uint32, tableSlots) // 0: the slot is free
+	rounds := make([]uint32, tableSlots) // of the winning bid; 0 while the slot is free
 	bids := make([]uint32, tableSlots)   // the winning bid
 	free := tableSlots
 	for round := uint32(1); free > 0; round++ {
@@ -66,19 +65,18 @@
 	return owners
 }
 
-// owner returns the member at the given position of the prefix's own order of
-// members. Positions may repeat a member.
+// owner returns the index of the member at a position of the order that key
+// determines. Several positions may return the same member.
 func (t table) owner(key uint64, position int) int32 {
 	hash := mix(key + uint64(position)*goldenRatio)
 	return int32(t[hash>>(64-tableBits)])
 }
 
-// goldenRatio is 2^64 divided by the golden ratio, the customary step between
-// inputs of mix.
+// goldenRatio is 2^64 divided by the golden ratio, the usual increment between
+// inputs of a mixing function.
 const goldenRatio = 0x9e3779b97f4a7c15
 
-// mix scatters x over 64 bits: two multiplications folded, each over the full
-// 128 bits.
+// mix is a 64-bit hash of x. Twice it multiplies to 128 bits and XORs the halves.
 func mix(x uint64) uint64 {
 	hi, lo := bits.Mul64(x^0xa0761d6478bd642f, 0xe7037ed1a0b428db)
 	x = hi ^ lo
--- a/internal/decide/burdockplace/table_test.go
+++ b/internal/decide/burdockplace/table_test.go
@@ -12,10 +12,10 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// The other ways to name an upstream for a slot that docs/design/placing.md
-// weighs, kept to be measured against.
+// The alternatives to newTable that docs/design/placing.md compares, kept for the
+// benchmarks.
 
-// newRendezvous gives each slot to the member with the highest hash of both.
+// newRendezvous assigns each slot to the member with the highest hash of the pair.
 func newRendezvous(names []burdockid.Upstream) table {
 	owners := make(table, tableSlots)
 	seeds := seedsOf(names)
@@ -31,7 +31,7 @@
 	return owners
 }
 
-// newMaglev lets the members take turns at their next free slot.
+// newMaglev lets the members in turn take their next free slot, as Maglev does.
 func newMaglev(names []burdockid.Upstream) table {
 	owners := make(table, tableSlots)
 	taken := make([]bool, tableSlots)
@@ -39,7 +39,7 @@
 	next := make([]uint64, len(names))
 	for free := tableSlots; free > 0; {
 		for i, seed := range seeds {
-			// An odd step goes through all slots, as their number is even.
+			// An odd step visits all slots, because their number is a power of two.
 			step := mix(seed) | 1
 			slot := (seed + next[i]*step) % tableSlots
 			for taken[slot] {
@@ -56,7 +56,8 @@
 	return owners
 }
 
-// newRing gives each slot to the next of the members' points after it.
+// newRing assigns each slot to the owner of the next point on a hash ring, on which
+// each member has pointsEach points.
 func newRing(names []burdockid.Upstream) table {
 	const pointsEach = 64
 	type point struct {
@@ -104,9 +105,9 @@
 	{"ring", newRing},
 }
 
-// BenchmarkTable tells for each way what building costs, how uneven the slots
-// are (deviation over mean), and how many slots move needlessly, as a multiple
-// of the leaving member's own, when one leaves.
+// BenchmarkTable measures for each kind of table the time to build it, how uneven the
+// slots are (standard deviation over mean), and how many slots move needlessly when a
+// member leaves, as a multiple of that member's slots.
 func BenchmarkTable(b *testing.B) {
 	for _, n := range []int{16, 3800} {
 		names := make([]burdockid.Upstream, n)
@@ -152,7 +153,7 @@
 	return math.Sqrt(squares/float64(n)) / mean
 }
 
-// BenchmarkMemory tells what a placer holds in memory for each member.
+// BenchmarkMemory measures the memory that a placer takes for each member.
 func BenchmarkMemory(b *testing.B) {
 	for _, n := range []int{16, 3800} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/decide/burdockplace/width.go
+++ b/internal/decide/burdockplace/width.go
@@ -6,61 +6,61 @@
 	"burdockbend.example/burdockbend/internal/base/burdockclock"
 )
 
-// widths remembers over how many upstreams each hot prefix is spread.
+// widths stores the width of each hot prefix: the number of upstreams that it is
+// spread over.
 //
-// Made for: a system prompt that a tenth of all requests begin with, which
-// would need hundreds of upstreams. Each refusal of a prefix by one of its
-// upstreams doubles its width, so a dozen refusals reach any width, and the
-// width halves again in time. An entry learns this from its own refusals
-// alone; entries that have learned differently still meet on the same
-// upstreams, since every width counts from the same first position.
+// A system prompt that a tenth of all requests begin with needs hundreds of
+// upstreams. Each refusal of a prefix by one of its upstreams doubles its width, so
+// a dozen refusals reach any width, and the width decays by half-lives. An entry
+// uses only the refusals that it received itself. Entries with different widths
+// still share upstreams, because every width begins at the same first position.
 //
-// The memory is a fixed array: a prefix may push out another with the same
-// place, which then costs a few refusals to learn again.
+// The memory is a fixed array. A prefix may replace another one with the same
+// index, whose width then takes a few refusals to learn again.
 type widths struct {
-	places [widthPlaces]width
+	entries [widthEntries]prefixWidth
 }
 
 const (
-	widthPlaces = 1024
-	maxWidth    = 4096
+	widthEntries = 1024
+	maxWidth     = 4096
 )
 
-type width struct {
-	key   uint64
-	at    burdockclock.Millis
-	value float32 // as of at
+type prefixWidth struct {
+	key       uint64
+	updatedAt burdockclock.Millis
+	width     float32 // at updatedAt
 }
 
-func (w *widths) get(now, halfLife burdockclock.Millis, key uint64, home int) int {
-	place := &w.places[key%widthPlaces]
-	if place.key != key {
-		return home
+func (w *widths) get(now, halfLife burdockclock.Millis, key uint64, owners int) int {
+	entry := &w.entries[key%widthEntries]
+	if entry.key != key {
+		return owners
 	}
-	return max(home, int(place.now(now, halfLife)))
+	return max(owners, int(entry.now(now, halfLife)))
 }
 
-func (w *widths) widen(now, halfLife burdockclock.Millis, key uint64, home int) {
-	place := &w.places[key%widthPlaces]
-	if place.key != key && place.now(now, halfLife) >= 2*float64(home) {
-		// The older one is still hot; it fades in time.
+func (w *widths) widen(now, halfLife burdockclock.Millis, key uint64, owners int) {
+	entry := &w.entries[key%widthEntries]
+	if entry.key != key && entry.now(now, halfLife) >= 2*float64(owners) {
+		// The prefix stored here is still hot and is kept until its width decays.
 		return
 	}
-	doubled := 2 * w.get(now, halfLife, key, home)
-	*place = width{key: key, at: now, value: float32(min(doubled, maxWidth))}
+	doubled := 2 * w.get(now, halfLife, key, owners)
+	*entry = prefixWidth{key: key, updatedAt: now, width: float32(min(doubled, maxWidth))}
 }
 
-func (w *width) now(now, halfLife burdockclock.Millis) float64 {
-	age := float64(max(now-w.at, 0)) / float64(halfLife)
-	return float64(w.value) * math.Exp2(-age)
+func (w *prefixWidth) now(now, halfLife burdockclock.Millis) float64 {
+	age := float64(max(now-w.updatedAt, 0)) / float64(halfLife)
+	return float64(w.width) * math.Exp2(-age)
 }
 
-// jump spreads keys evenly over positions from 0 to n-1 (jump consistent
-// hashing, Lamping and Veach 2014). Entries learn different widths, and widths
-// change: of two widths, jump gives the same position to as large a share of
-// keys as the smaller width is of the larger. By a remainder hardly any key
-// would keep its position, and no conversation its cache.
-func jump(key uint64, n int) int {
+// jumpHash distributes keys evenly over 0 to n-1 (jump consistent hash, Lamping and
+// Veach 2014). Widths change and differ between entries. For two widths, jumpHash
+// gives the same position to a share of keys equal to the smaller width divided by
+// the larger one. With key modulo n hardly any key keeps its position, and
+// conversations lose their caches.
+func jumpHash(key uint64, n int) int {
 	position, next := 0, 0
 	for next < n {
 		position = next
