--- a/internal/decide/burdockpace/pace.go
+++ b/internal/decide/burdockpace/pace.go
@@ -1,8 +1,8 @@
-// Package burdockpace bounds how many streams the engines of a service run, by
-// the figures that their operators publish and the pauses between events that
-// an entry sees itself.
+// Package burdockpace limits how many streams the engines of a service run. It uses
+// the performance figures that operators publish for an engine, and the event gaps
+// that an entry measures: the times between two events of a stream.
 //
-// The package is pure: time is passed in. A Limit is not safe for concurrent
+// The package does no I/O: time is passed in. A Limit is not safe for concurrent
 // use.
 package burdockpace
 
@@ -15,123 +15,126 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// Engine is what the operators publish of one engine.
+// Engine holds the published performance figures of one engine.
 type Engine struct {
 	// Slots is the number of requests that it runs at a time.
 	Slots int
-	// StepsPerEvent is the number of token steps in one pass; an event of a stream
-	// comes with each pass.
+	// StepsPerEvent is the number of token steps between two events of a stream,
+	// called a cycle here. Less than 1 counts as 1.
 	StepsPerEvent int
-	// BaseStepMillis is the fixed part of a token step, StepMillisPerRequest the part for
-	// each running request.
+	// BaseStepMillis is the fixed part of the duration of a token step.
+	// StepMillisPerRequest is added to it for each running request.
 	BaseStepMillis       float64
 	StepMillisPerRequest float64
 }
 
-// pass returns the length of a pass with n requests at each engine, if all are
-// evenly loaded and none reads a prompt.
-func (e Engine) pass(n float64) float64 {
+// cycle returns the duration in milliseconds of a cycle with n requests at each
+// engine, if all engines are evenly loaded and none processes a prompt. It is also
+// the event gap of each stream.
+func (e Engine) cycle(n float64) float64 {
 	return float64(max(e.StepsPerEvent, 1)) * (e.BaseStepMillis + n*e.StepMillisPerRequest)
 }
 
-// fitting returns the number of requests with which a pass that takes factor
-// times as long as the figures say lasts for most.
-func (e Engine) fitting(most, factor float64) float64 {
+// maxRequests returns the number of requests with which a cycle takes maxCycle
+// milliseconds, given that it takes slowdown times as long as the figures imply.
+func (e Engine) maxRequests(maxCycle, slowdown float64) float64 {
 	if e.StepMillisPerRequest <= 0 {
 		return float64(e.Slots)
 	}
-	return (most/(factor*float64(max(e.StepsPerEvent, 1))) - e.BaseStepMillis) / e.StepMillisPerRequest
+	return (maxCycle/(slowdown*float64(max(e.StepsPerEvent, 1))) - e.BaseStepMillis) / e.StepMillisPerRequest
 }
 
-// Config holds the limits of a Limit. A zero field takes its default.
+// Config configures a Limit. A field that is not positive takes its default.
 type Config struct {
-	// GapFraction is the part of the longest pause that callers accept which a pass
-	// may take. The rest is for the way and for single passes that last longer
-	// than their neighbours.
+	// GapFraction is the fraction of the maximum event gap that a cycle may take.
+	// The rest covers network latency and single cycles that take longer than
+	// their neighbours.
 	GapFraction float64
-	// SafetyFactor is how much longer than usual a pass is taken to be. Higher, and
-	// fewer streams are late when the experts in demand turn, but more are
-	// turned away all the time.
+	// SafetyFactor is the factor by which cycles are assumed to be longer than
+	// typical. With a higher value fewer streams are late when the experts in
+	// demand change, but more streams are turned away all the time.
 	SafetyFactor float64
-	// SamplePeriod is the time over which pauses are gathered into one figure. It has
-	// to hold a pass or two.
+	// SamplePeriod is the time over which event gaps are averaged into one
+	// slowdown. It has to span a cycle or two.
 	SamplePeriod burdockclock.Millis
-	// AveragingTime is the time over which the usual is taken: longer than the time
-	// between two turns of the experts in demand, which come every few seconds,
-	// as a bound that follows each turn is always late.
+	// AveragingTime is the time constant of the typical slowdown. It is longer than
+	// the time between two changes of the experts in demand, which come every few
+	// seconds, because a limit that follows each change is always late.
 	AveragingTime burdockclock.Millis
-	// InitialSlowdown is the factor by which passes are taken to be longer than the
-	// figures say until some have been seen.
+	// InitialSlowdown is the typical slowdown until event gaps have been measured.
+	// The slowdown is the measured cycle divided by the one that the figures imply.
 	InitialSlowdown float64
-	// MaxSlowdown bounds what one period can show: a group that stalls shows
-	// nothing of how many requests it can run.
+	// MaxSlowdown limits the slowdown of one period, because the event gaps of a
+	// stalled group say nothing about how many requests it can run.
 	MaxSlowdown float64
-	// MinPerEngine is the number of streams for each engine that the bound never falls
-	// below, so that pauses can still be seen.
+	// MinPerEngine is the smallest limit on the requests at each engine. With fewer
+	// there are too few event gaps to measure. When not even these fit, the engines'
+	// slots are the limit.
 	MinPerEngine float64
-	// ReportFreshFor is how long a report of load stands as it is, and ReportHalfLife the time in
-	// which it fades by half after that: about half the length of a stream.
+	// ReportFreshFor is the age up to which a load report counts fully. After that
+	// its weight halves every ReportHalfLife, which is about half the length of a
+	// stream.
 	ReportFreshFor burdockclock.Millis
 	ReportHalfLife burdockclock.Millis
-	// ShareWithoutReports is the part of what is left that an entry takes up which has heard
-	// nothing of late.
+	// ShareWithoutReports is the share of the remaining capacity that an entry uses
+	// when it has received no recent reports.
 	ShareWithoutReports float64
 }
 
 // Defaults of Config.
 const (
-	defaultMargin                          = 0.9
-	defaultReserve                         = 1.3
-	defaultPeriod      burdockclock.Millis = 150
-	defaultMemory                          = 6 * burdockclock.Second
-	defaultStartFactor                     = 1.7
-	defaultMostFactor                      = 4.0
-	defaultLeast                           = 2.0
-	defaultFresh       burdockclock.Millis = 300
-	defaultFade        burdockclock.Millis = 700
-	defaultShare                           = 0.34
+	defaultGapFraction                             = 0.9
+	defaultSafetyFactor                            = 1.3
+	defaultSamplePeriod        burdockclock.Millis = 150
+	defaultAveragingTime                           = 6 * burdockclock.Second
+	defaultInitialSlowdown                         = 1.7
+	defaultMaxSlowdown                             = 4.0
+	defaultMinPerEngine                            = 2.0
+	defaultReportFreshFor      burdockclock.Millis = 300
+	defaultReportHalfLife      burdockclock.Millis = 700
+	defaultShareWithoutReports                     = 0.34
 )
 
-// Limit is the bound on running streams at one entry.
+// Limit computes the limit on running streams at one entry.
 type Limit struct {
-	cfg     Config
-	engine  Engine
-	engines int
-	longest burdockclock.Millis // pause that callers accept
+	cfg         Config
+	engine      Engine
+	engines     int
+	maxEventGap burdockclock.Millis // that callers accept
 
-	own     float64 // requests of this entry, for each engine
-	reports map[burdockid.Upstream]report
-	usual   float64 // factor by which passes are longer than the figures say
-	factor  float64 // of the last period
-	sum     float64
-	n       int
-	beganAt burdockclock.Millis // of the period
+	own             float64 // running requests of this entry, per engine
+	reports         map[burdockid.Upstream]report
+	typicalSlowdown float64 // moving average of slowdown
+	slowdown        float64 // of the last period
+	gapSum          float64
+	n               int
+	periodStart     burdockclock.Millis // of the gaps in gapSum, of which there are n
 }
 
-// report is what an engine told of the requests of other entries, and how many
-// this entry had then, for each engine.
+// report is the load that an engine reported of other entries' requests, and how
+// many requests per engine this entry had when it received the report.
 type report struct {
-	others float64
-	own    float64
-	at     burdockclock.Millis
+	others     float64
+	own        float64
+	receivedAt burdockclock.Millis
 }
 
-// New returns a limit for a number of engines, whose callers accept pauses of
-// longest.
-func New(cfg Config, engine Engine, engines int, longest burdockclock.Millis) *Limit {
-	setDefault(&cfg.GapFraction, defaultMargin)
-	setDefault(&cfg.SafetyFactor, defaultReserve)
-	setDefault(&cfg.SamplePeriod, defaultPeriod)
-	setDefault(&cfg.AveragingTime, defaultMemory)
-	setDefault(&cfg.InitialSlowdown, defaultStartFactor)
-	setDefault(&cfg.MaxSlowdown, defaultMostFactor)
-	setDefault(&cfg.MinPerEngine, defaultLeast)
-	setDefault(&cfg.ReportFreshFor, defaultFresh)
-	setDefault(&cfg.ReportHalfLife, defaultFade)
-	setDefault(&cfg.ShareWithoutReports, defaultShare)
+// New returns a limit for the given number of engines. Callers accept event gaps of
+// up to maxEventGap.
+func New(cfg Config, engine Engine, engines int, maxEventGap burdockclock.Millis) *Limit {
+	setDefault(&cfg.GapFraction, defaultGapFraction)
+	setDefault(&cfg.SafetyFactor, defaultSafetyFactor)
+	setDefault(&cfg.SamplePeriod, defaultSamplePeriod)
+	setDefault(&cfg.AveragingTime, defaultAveragingTime)
+	setDefault(&cfg.InitialSlowdown, defaultInitialSlowdown)
+	setDefault(&cfg.MaxSlowdown, defaultMaxSlowdown)
+	setDefault(&cfg.MinPerEngine, defaultMinPerEngine)
+	setDefault(&cfg.ReportFreshFor, defaultReportFreshFor)
+	setDefault(&cfg.ReportHalfLife, defaultReportHalfLife)
+	setDefault(&cfg.ShareWithoutReports, defaultShareWithoutReports)
 	return &Limit{
-		cfg: cfg, engine: engine, engines: max(engines, 1), longest: longest,
-		reports: map[burdockid.Upstream]report{}, usual: cfg.InitialSlowdown,
+		cfg: cfg, engine: engine, engines: max(engines, 1), maxEventGap: maxEventGap,
+		reports: map[burdockid.Upstream]report{}, typicalSlowdown: cfg.InitialSlowdown,
 	}
 }
 
@@ -147,133 +150,137 @@
 	maps.DeleteFunc(l.reports, func(u burdockid.Upstream, _ report) bool { return !slices.Contains(engines, u) })
 }
 
-// Report tells how many requests one engine runs and has waiting, of which so
-// many are of this entry.
+// Report records how many requests one engine has running or waiting. own is how
+// many of them are from this entry.
 func (l *Limit) Report(now burdockclock.Millis, u burdockid.Upstream, requests, own int) {
-	l.reports[u] = report{others: float64(max(requests-own, 0)), own: l.own, at: now}
+	l.reports[u] = report{others: float64(max(requests-own, 0)), own: l.own, receivedAt: now}
 }
 
-// heard returns what the latest reports say of the requests at each engine, on
-// average: those of other entries, and those that this one had as they were told.
-// An entry hears of an engine when it sends a request there, which it does less
-// often the more loaded the engine is: so each engine counts by its latest report,
-// the older the less. When none reports, as when this entry starts nothing, what
-// was heard fades; else it would believe for ever that the engines are full.
-func (l *Limit) heard(now burdockclock.Millis) (others, own float64) {
-	weights := 0.0
+// reportedLoad returns the mean number of requests at each engine according to the
+// latest reports: those of other entries, and those that this entry had when it
+// received the reports.
+//
+// An entry receives a report of an engine when it sends a request there, which it
+// does less often the more loaded the engine is. Each engine therefore counts with
+// its latest report, weighted by age. When no reports arrive, for example because
+// this entry starts no streams, the load of other entries decays. Otherwise the
+// entry would consider the engines full forever.
+func (l *Limit) reportedLoad(now burdockclock.Millis) (others, own float64) {
+	totalWeight := 0.0
 	for _, r := range l.reports {
-		weight := math.Exp2(-float64(now-r.at) / float64(l.cfg.ReportHalfLife))
+		weight := math.Exp2(-float64(now-r.receivedAt) / float64(l.cfg.ReportHalfLife))
 		others += weight * r.others
 		own += weight * r.own
-		weights += weight
+		totalWeight += weight
 	}
-	if weights <= 0 {
+	if totalWeight <= 0 {
 		return 0, l.own
 	}
-	return l.fresh(now) * others / weights, own / weights
+	return l.freshness(now) * others / totalWeight, own / totalWeight
 }
 
-// load returns the requests at each engine, on average.
+// load returns the mean number of requests at each engine.
 func (l *Limit) load(now burdockclock.Millis) float64 {
-	others, _ := l.heard(now)
+	others, _ := l.reportedLoad(now)
 	return others + l.own
 }
 
-// fresh returns how far the newest report still stands, from 1 to 0.
-func (l *Limit) fresh(now burdockclock.Millis) float64 {
-	newest := burdockclock.Millis(math.MaxInt64)
+// freshness returns the weight of the newest report, from 1 (recent) to 0.
+func (l *Limit) freshness(now burdockclock.Millis) float64 {
+	minAge := burdockclock.Millis(math.MaxInt64)
 	for _, r := range l.reports {
-		newest = min(newest, now-r.at)
+		minAge = min(minAge, now-r.receivedAt)
 	}
-	if newest <= l.cfg.ReportFreshFor {
+	if minAge <= l.cfg.ReportFreshFor {
 		return 1
 	}
-	return math.Exp2(-float64(newest-l.cfg.ReportFreshFor) / float64(l.cfg.ReportHalfLife))
+	return math.Exp2(-float64(minAge-l.cfg.ReportFreshFor) / float64(l.cfg.ReportHalfLife))
 }
 
-// ObserveEventGap tells of the time between two events of a stream.
-func (l *Limit) ObserveEventGap(now, pause burdockclock.Millis) {
+// ObserveEventGap records the time between two events of a stream.
+func (l *Limit) ObserveEventGap(now, gap burdockclock.Millis) {
 	if l.n == 0 {
-		l.beganAt = now
+		l.periodStart = now
 	}
-	l.sum += float64(pause)
+	l.gapSum += float64(gap)
 	l.n++
-	if now-l.beganAt >= l.cfg.SamplePeriod {
+	if now-l.periodStart >= l.cfg.SamplePeriod {
 		l.endPeriod(now)
 	}
 }
 
 func (l *Limit) endPeriod(now burdockclock.Millis) {
-	l.factor = min(l.sum/float64(l.n)/l.engine.pass(l.load(now)), l.cfg.MaxSlowdown)
-	weight := min(float64(now-l.beganAt)/float64(l.cfg.AveragingTime), 1)
-	l.usual += weight * (l.factor - l.usual)
-	l.sum, l.n = 0, 0
+	l.slowdown = min(l.gapSum/float64(l.n)/l.engine.cycle(l.load(now)), l.cfg.MaxSlowdown)
+	weight := min(float64(now-l.periodStart)/float64(l.cfg.AveragingTime), 1)
+	l.typicalSlowdown += weight * (l.slowdown - l.typicalSlowdown)
+	l.gapSum, l.n = 0, 0
 }
 
-// State is what a Limit believes.
+// State is a snapshot of a Limit.
 type State struct {
 	Load            float64 `json:"load"`    // requests at each engine
 	Slowdown        float64 `json:"factor"`  // of the last period
-	TypicalSlowdown float64 `json:"usual"`   // factor
+	TypicalSlowdown float64 `json:"usual"`   // moving average of Slowdown
 	MaxPerEngine    float64 `json:"fitting"` // requests that each engine may have
 }
 
-// State returns what the limit believes now.
+// State returns the limit's current state.
 func (l *Limit) State(now burdockclock.Millis) State {
-	return State{Load: l.load(now), Slowdown: l.factor, TypicalSlowdown: l.usual, MaxPerEngine: l.fitting()}
+	return State{Load: l.load(now), Slowdown: l.slowdown, TypicalSlowdown: l.typicalSlowdown, MaxPerEngine: l.maxRequests()}
 }
 
-// fitting returns the number of requests that each engine may have.
+// maxRequests returns the number of requests that each engine may have.
 //
-// Load: more streams than engines in lock-step can run within the pause that
-// callers accept. Harm prevented: each stream that runs lengthens the passes of
-// all ranks, so that beyond a point every stream is late at once and the
-// backlog never drains. Where not even a few would fit, nothing can be in time,
-// and as many run as the engines take: late answers are better than none.
-func (l *Limit) fitting() float64 {
-	fit := l.engine.fitting(l.cfg.GapFraction*float64(l.longest), l.usual*l.cfg.SafetyFactor)
-	if fit < l.cfg.MinPerEngine {
+// Each additional stream lengthens the cycles of all ranks of lockstep engines. With
+// more streams than fit the maximum event gap, every stream is late at once and the
+// backlog never drains. If not even MinPerEngine requests fit, no stream can be on
+// time, and the engines' slots are the limit: late answers are better than none.
+func (l *Limit) maxRequests() float64 {
+	limit := l.engine.maxRequests(l.cfg.GapFraction*float64(l.maxEventGap), l.typicalSlowdown*l.cfg.SafetyFactor)
+	if limit < l.cfg.MinPerEngine {
 		return float64(l.engine.Slots)
 	}
-	return min(fit, float64(l.engine.Slots))
+	return min(limit, float64(l.engine.Slots))
 }
 
-// room returns how many times as many requests as at the latest reports an entry
-// may have, when that many times as many fit as there were. While there is room an
-// entry whose traffic grows may take up more than its part, since that of the others
-// hardly grows at the same moment; near the bound that is next to nothing.
-func room(fits float64) float64 {
-	if fits <= 1 {
-		return fits
+// growthFactor returns the factor by which an entry's requests may grow since the
+// latest reports. headroom is the factor by which all requests together may grow.
+// While there is headroom an entry with growing traffic may use more than its
+// share, because other entries rarely grow at the same moment. Near the limit the
+// extra is close to nothing.
+func growthFactor(headroom float64) float64 {
+	if headroom <= 1 {
+		return headroom
 	}
-	return fits * math.Sqrt(fits)
+	return headroom * math.Sqrt(headroom)
 }
 
-// MaxStreams returns how many streams this entry may have running, of which it has
-// running now.
+// MaxStreams returns how many streams this entry may have running. running is how
+// many it has now.
 //
-// Load: one entry or hundreds, which see uneven traffic and don't talk to each
-// other. Harm prevented: a fixed part for each would turn callers away at one entry
-// while places are free at the others' expense; a fixed part of what is left, taken
-// up by all of them before the next reports, would fill the engines many times
-// over. Each entry's part is that of all requests which it had when the reports
-// were told. Those parts add up to one, however many entries there are, and what
-// each has started since counts against its own part alone. An entry that hears
-// nothing knows no longer what its part is, and takes up more.
+// The limit has to work for one entry or hundreds, which get uneven traffic and
+// don't communicate. With a fixed share of the capacity for each, one entry turns
+// callers away while slots of the others are unused. With a fixed share of the
+// remaining capacity, all entries take theirs before the next reports and fill the
+// engines many times over. Each entry's share is therefore the share of all requests
+// that it had at the time of the reports. These shares add up to 1 for any number of
+// entries, and what an entry has started since counts only against its own share. An
+// entry without recent reports doesn't know its share, and gradually takes
+// ShareWithoutReports of the remaining capacity instead.
 func (l *Limit) MaxStreams(now burdockclock.Millis, running int) int {
 	l.own = float64(running) / float64(l.engines)
-	fit := l.fitting()
-	others, own := l.heard(now)
-	known := l.fresh(now)
+	limit := l.maxRequests()
+	others, own := l.reportedLoad(now)
+	reportWeight := l.freshness(now)
 	bound := 0.0
 	if load := others + own; load > 0 {
-		part := own * room(fit/load)
-		// When little ran at the latest reports, a part of it says little of how much
-		// more there may be: never more than the others leave.
-		bound = known * min(part, max(fit-others, own)) * float64(l.engines)
+		share := own * growthFactor(limit/load)
+		// When few requests ran at the latest reports, the growth factor is large and
+		// means little. The share is therefore limited to what other entries leave.
+		bound = reportWeight * min(share, max(limit-others, own)) * float64(l.engines)
 	}
-	if left := fit - others - l.own; left > 0 {
-		bound += (1 - known) * (float64(running) + left*float64(l.engines)*l.cfg.ShareWithoutReports)
+	if remaining := limit - others - l.own; remaining > 0 {
+		bound += (1 - reportWeight) * (float64(running) + remaining*float64(l.engines)*l.cfg.ShareWithoutReports)
 	}
 	return max(int(math.Ceil(bound)), 1)
 }
