--- a/internal/decide/burdockledger/handover.go
+++ b/internal/decide/burdockledger/handover.go
@@ -8,56 +8,56 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// HandoverRecord is what one home tells the next of one key.
+// HandoverRecord is what the owner of a slot sends the next one about one key.
 type HandoverRecord struct {
 	Key         Key
 	Request     burdockid.Request
 	Fingerprint Fingerprint
 	Outcome     Outcome
-	ReceivedAt  burdockclock.Millis // when it came, on the wall clock
+	ReceivedAt  burdockclock.Millis // wall-clock time at which the request came
 }
 
-// ExportSlot returns all that is remembered of the keys of one slot.
+// ExportSlot returns everything that is recorded about the keys of one slot.
 func (l *Ledger) ExportSlot(slot Slot) []HandoverRecord {
-	var lines []HandoverRecord
+	var exported []HandoverRecord
 	for _, a := range l.arrivals {
 		if SlotOf(a.key) != slot {
-			continue // cheaper than the look-up, and true of nearly all
+			continue // true of nearly all arrivals, and cheaper than the lookup
 		}
-		known, ok := l.records[a.key]
+		rec, ok := l.records[a.key]
 		if !ok {
 			continue
 		}
-		lines = append(lines, HandoverRecord{
+		exported = append(exported, HandoverRecord{
 			Key:         a.key,
-			Request:     known.request,
-			Fingerprint: known.fingerprint,
-			Outcome:     known.fate,
-			ReceivedAt:  a.at,
+			Request:     rec.request,
+			Fingerprint: rec.fingerprint,
+			Outcome:     rec.outcome,
+			ReceivedAt:  a.receivedAt,
 		})
 	}
-	return lines
+	return exported
 }
 
-// CompleteSince returns from when on the ledger holds every run of a slot's keys.
-func (l *Ledger) CompleteSince(slot Slot) burdockclock.Millis { return l.since[slot] }
+// CompleteSince returns the time since which every run of a slot's keys is recorded.
+func (l *Ledger) CompleteSince(slot Slot) burdockclock.Millis { return l.completeSince[slot] }
 
-// Horizon returns the instant before which keys have been forgotten.
+// Horizon returns the time before which keys have been evicted.
 func (l *Ledger) Horizon() burdockclock.Millis { return l.horizon }
 
-// ImportSlot holds a slot with the memory that its last home handed over. Since that
-// memory is whole, keys go on to be known from the same instant on.
+// ImportSlot acquires a slot with the records that its previous owner exported. They
+// are complete, so completeSince is the same as at the previous owner.
 //
-// Load: a home of 200,000 keys takes a slot of 20,000. Harm prevented: keys put
-// in their places one by one held up every request of the agent for 15 s.
-func (l *Ledger) ImportSlot(slot Slot, since burdockclock.Millis, lines []HandoverRecord) {
-	l.AcquireSlot(slot, since)
-	for _, line := range lines {
-		if _, ok := l.records[line.Key]; ok {
-			continue // handed over twice
+// An owner of 200,000 keys may import a slot of 20,000. The arrivals are therefore
+// sorted once: inserting them one by one blocked every request of the agent for 15 s.
+func (l *Ledger) ImportSlot(slot Slot, completeSince burdockclock.Millis, imported []HandoverRecord) {
+	l.AcquireSlot(slot, completeSince)
+	for _, rec := range imported {
+		if _, ok := l.records[rec.Key]; ok {
+			continue // already imported
 		}
-		l.records[line.Key] = record{request: line.Request, fingerprint: line.Fingerprint, fate: line.Outcome}
-		l.arrivals = append(l.arrivals, arrival{key: line.Key, at: line.ReceivedAt})
+		l.records[rec.Key] = record{request: rec.Request, fingerprint: rec.Fingerprint, outcome: rec.Outcome}
+		l.arrivals = append(l.arrivals, arrival{key: rec.Key, receivedAt: rec.ReceivedAt})
 	}
-	slices.SortStableFunc(l.arrivals, func(a, b arrival) int { return cmp.Compare(a.at, b.at) })
+	slices.SortStableFunc(l.arrivals, func(a, b arrival) int { return cmp.Compare(a.receivedAt, b.receivedAt) })
 }
--- a/internal/decide/burdockledger/ledger.go
+++ b/internal/decide/burdockledger/ledger.go
@@ -7,48 +7,50 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// Outcome is what became of the request that a key came with first.
+// Outcome is what became of the first request with a key.
 type Outcome uint8
 
-// Fates.
+// Outcomes.
 const (
-	// OutcomeRunning: it waits or runs.
+	// OutcomeRunning means that the request waits or runs.
 	OutcomeRunning Outcome = iota
-	// OutcomeAnswered: its answer came whole.
+	// OutcomeAnswered means that the answer was received completely.
 	OutcomeAnswered
-	// OutcomeUnknown: it was handed to the upstream, and no whole answer came.
+	// OutcomeUnknown means that the request was sent to the upstream and no complete
+	// answer was received.
 	OutcomeUnknown
 )
 
-// Fingerprint tells whether two requests with one key are the same request.
+// Fingerprint identifies the content of a request. Two requests with the same key
+// are the same request if their fingerprints are equal.
 type Fingerprint uint64
 
-// KeyedRequest is a request with a key, as it comes to the home of the key.
+// KeyedRequest is a request with a key, as the owner of the key receives it.
 type KeyedRequest struct {
 	Key         Key
 	Request     burdockid.Request
 	Fingerprint Fingerprint
-	// CreatedAt is when the key was made, on the wall clock; 0 when it doesn't say.
+	// CreatedAt is the wall-clock time at which the key was created; 0 if unknown.
 	CreatedAt burdockclock.Millis
 }
 
-// Decision is the answer to an Ask: Run, Attach, MayHaveRun or Reused.
+// Decision is the result of Decide: Run, Attach, MayHaveRun or Reused.
 type Decision interface{ isDecision() }
 
-// Run means that the key is new here, and certain not to have run elsewhere.
+// Run means that the key is new and has certainly not run elsewhere.
 type Run struct{}
 
-// Attach means that the key's request is known: the caller gets its answer.
+// Attach means that the key's request is known. The caller gets its answer.
 type Attach struct {
 	Request burdockid.Request
 	Outcome Outcome
 }
 
-// MayHaveRun means that the request may have run before this home could
-// remember. Nobody can tell, so it is not run.
+// MayHaveRun means that the request may have run before this owner's records begin.
+// Because this can't be determined, the request is not run.
 type MayHaveRun struct{}
 
-// Reused means that the key came before, with another request.
+// Reused means that the key was used before with another request.
 type Reused struct{}
 
 func (Run) isDecision()        {}
@@ -58,55 +60,59 @@
 
 const (
 	// RepeatWindow is the longest time after which a caller repeats a key. A new
-	// home that lacks the memory of the one before it lets a key without a time
-	// of birth run only when this much time has passed.
+	// owner that lacks the records of the previous one lets a key without a creation
+	// time run only once this time has passed since the takeover.
 	RepeatWindow = 10 * burdockclock.Minute
-	// MaxClockSkew covers how far the clocks of those who make keys may be from ours.
+	// MaxClockSkew is the largest assumed difference between the clock of a key's
+	// creator and the local one.
 	MaxClockSkew = burdockclock.Minute
-	// Retention is how long a key is remembered. A repeat after more than
-	// that runs anew, unless the key says that it is older.
+	// Retention is how long a key is remembered. A repeat after that runs again,
+	// unless the key's creation time shows that it is older.
 	Retention = 24 * burdockclock.Hour
-	// MaxKeys bounds the memory: 126 bytes each, 25 MB (burdock measure
-	// capacity). At the design's peak rate a replica sees 141,000 requests a
-	// day, with a key or without.
+	// MaxKeys limits the memory to 25 MB, at 126 bytes per key (burdock measure
+	// capacity). At the design's peak rate a replica gets 141,000 requests a day,
+	// with a key or without.
 	MaxKeys = 200_000
 )
 
-// record is what the ledger keeps for a key.
+// record is what the ledger stores for a key.
 type record struct {
 	request     burdockid.Request
 	fingerprint Fingerprint
-	fate        Outcome
+	outcome     Outcome
 }
 
-// arrival is when a key came, oldest first.
+// arrival is a key with the wall-clock time at which its request came. The ledger
+// lists arrivals oldest first.
 type arrival struct {
-	key Key
-	at  burdockclock.Millis
+	key        Key
+	receivedAt burdockclock.Millis
 }
 
-// Ledger is the memory of one home for the slots that it holds.
+// Ledger records the keys of the slots that one agent owns.
 type Ledger struct {
-	records  map[Key]record
-	arrivals []arrival
-	since    map[Slot]burdockclock.Millis
-	// horizon is the instant before which keys have been forgotten.
+	records       map[Key]record
+	arrivals      []arrival
+	completeSince map[Slot]burdockclock.Millis
+	// horizon is the time before which keys have been evicted.
 	horizon burdockclock.Millis
 }
 
-// New returns a ledger that holds no slot.
+// New returns a ledger that owns no slot.
 func New() *Ledger {
-	return &Ledger{records: map[Key]record{}, since: map[Slot]burdockclock.Millis{}}
+	return &Ledger{records: map[Key]record{}, completeSince: map[Slot]burdockclock.Millis{}}
 }
 
-// AcquireSlot takes a slot. since is the instant on the wall clock from which on
-// every run of the slot's keys is in this ledger; 0 when the slot never had
-// another home.
-func (l *Ledger) AcquireSlot(slot Slot, since burdockclock.Millis) { l.since[slot] = since }
+// AcquireSlot makes the ledger the owner of a slot. completeSince is the wall-clock
+// time since which every run of the slot's keys is in this ledger. It is 0 if the
+// slot never had another owner.
+func (l *Ledger) AcquireSlot(slot Slot, completeSince burdockclock.Millis) {
+	l.completeSince[slot] = completeSince
+}
 
-// ReleaseSlot gives a slot up, with what is remembered of its keys.
+// ReleaseSlot gives up a slot and deletes the records of its keys.
 func (l *Ledger) ReleaseSlot(slot Slot) {
-	delete(l.since, slot)
+	delete(l.completeSince, slot)
 	l.arrivals = slices.DeleteFunc(l.arrivals, func(a arrival) bool {
 		if SlotOf(a.key) != slot {
 			return false
@@ -116,63 +122,64 @@
 	})
 }
 
-// OwnsSlot reports whether the ledger holds a slot.
+// OwnsSlot reports whether the ledger owns a slot.
 func (l *Ledger) OwnsSlot(slot Slot) bool {
-	_, ok := l.since[slot]
+	_, ok := l.completeSince[slot]
 	return ok
 }
 
-// OwnedSlots returns how many slots the ledger holds.
-func (l *Ledger) OwnedSlots() int { return len(l.since) }
+// OwnedSlots returns the number of slots that the ledger owns.
+func (l *Ledger) OwnedSlots() int { return len(l.completeSince) }
 
-// Decide says whether a request with a key may run. The ledger must hold the
-// key's slot. After Run the key counts as running until RecordNotRun or RecordOutcome.
+// Decide decides whether a request with a key may run. The ledger must own the key's
+// slot. After Run the key counts as running until RecordNotRun or RecordOutcome.
 //
-// Load: callers repeat requests whose answer they lost, through any entry and
-// while processes fail. Harm prevented: a letter sent twice, a lookup answered
-// twice in two ways. A key that may have run where this ledger can't see is
-// not run again; the caller is told that nobody can tell.
-func (l *Ledger) Decide(wall burdockclock.Millis, a KeyedRequest) Decision {
-	if known, ok := l.records[a.Key]; ok {
-		if known.fingerprint != a.Fingerprint {
+// Callers repeat requests whose answer they lost, through any entry and while
+// processes fail. Running such a request again may send a letter twice or answer a
+// lookup in two different ways. A key that may have run without a record in this
+// ledger is therefore not run again, and the caller is told that its outcome is
+// unknown.
+func (l *Ledger) Decide(wall burdockclock.Millis, req KeyedRequest) Decision {
+	if rec, ok := l.records[req.Key]; ok {
+		if rec.fingerprint != req.Fingerprint {
 			return Reused{}
 		}
-		return Attach{Request: known.request, Outcome: known.fate}
+		return Attach{Request: rec.request, Outcome: rec.outcome}
 	}
-	if l.mayHaveRun(wall, a) {
+	if l.mayHaveRun(wall, req) {
 		return MayHaveRun{}
 	}
-	l.records[a.Key] = record{request: a.Request, fingerprint: a.Fingerprint}
-	l.arrivals = append(l.arrivals, arrival{key: a.Key, at: wall})
+	l.records[req.Key] = record{request: req.Request, fingerprint: req.Fingerprint}
+	l.arrivals = append(l.arrivals, arrival{key: req.Key, receivedAt: wall})
 	return Run{}
 }
 
-func (l *Ledger) mayHaveRun(wall burdockclock.Millis, a KeyedRequest) bool {
-	since := max(l.since[SlotOf(a.Key)], l.horizon)
-	if since == 0 {
+func (l *Ledger) mayHaveRun(wall burdockclock.Millis, req KeyedRequest) bool {
+	completeSince := max(l.completeSince[SlotOf(req.Key)], l.horizon)
+	if completeSince == 0 {
 		return false
 	}
-	if a.CreatedAt > 0 {
-		return a.CreatedAt <= since+MaxClockSkew
+	if req.CreatedAt > 0 {
+		return req.CreatedAt <= completeSince+MaxClockSkew
 	}
-	// Without a time of birth: the horizon is a day back, far beyond any repeat;
-	// the time of a takeover is not.
-	return wall < l.since[SlotOf(a.Key)]+RepeatWindow+MaxClockSkew
+	// Without a creation time only the takeover matters. The horizon is a day in the
+	// past, far longer than RepeatWindow.
+	return wall < l.completeSince[SlotOf(req.Key)]+RepeatWindow+MaxClockSkew
 }
 
-// RecordNotRun tells that the request of a key was not handed to the upstream and
-// never will be: the key may run when it comes again.
+// RecordNotRun records that the request of a key was not sent to the upstream and
+// never will be. The key may run when it is repeated.
 func (l *Ledger) RecordNotRun(key Key, request burdockid.Request) {
-	if known, ok := l.records[key]; ok && known.request == request {
+	if rec, ok := l.records[key]; ok && rec.request == request {
 		delete(l.records, key)
 		l.removeArrival(key)
 	}
 }
 
-// removeArrival removes the arrival of a key that was not run, so that each
-// key has one arrival as long as it has a record. Left behind, it would have a
-// later run of the key forgotten too early, and take the room of others. It
-// looks from the newest on, where what was just refused is.
+// removeArrival removes the arrival of a key that was not run, so that each record
+// has exactly one arrival. An arrival left behind would evict a later run of the key
+// too early and count towards MaxKeys. The search begins with the newest arrival,
+// because a refused request is usually recent.
 func (l *Ledger) removeArrival(key Key) {
 	for i := len(l.arrivals) - 1; i >= 0; i-- {
 		if l.arrivals[i].key == key {
@@ -182,24 +189,24 @@
 	}
 }
 
-// RecordOutcome tells what became of a key's request.
-func (l *Ledger) RecordOutcome(key Key, request burdockid.Request, fate Outcome) {
-	if known, ok := l.records[key]; ok && known.request == request {
-		known.fate = fate
-		l.records[key] = known
+// RecordOutcome records the outcome of a key's request.
+func (l *Ledger) RecordOutcome(key Key, request burdockid.Request, outcome Outcome) {
+	if rec, ok := l.records[key]; ok && rec.request == request {
+		rec.outcome = outcome
+		l.records[key] = rec
 	}
 }
 
-// Evict drops keys that are too old or too many.
+// Evict removes keys that are older than Retention or exceed MaxKeys, oldest first.
 func (l *Ledger) Evict(wall burdockclock.Millis) {
 	n := 0
-	for n < len(l.arrivals) && (wall-l.arrivals[n].at > Retention || len(l.arrivals)-n > MaxKeys) {
+	for n < len(l.arrivals) && (wall-l.arrivals[n].receivedAt > Retention || len(l.arrivals)-n > MaxKeys) {
 		delete(l.records, l.arrivals[n].key)
-		l.horizon = l.arrivals[n].at
+		l.horizon = l.arrivals[n].receivedAt
 		n++
 	}
 	l.arrivals = l.arrivals[n:]
 }
 
-// Len returns how many keys are remembered.
+// Len returns the number of keys that are recorded.
 func (l *Ledger) Len() int { return len(l.records) }
--- a/internal/decide/burdockledger/ledger_test.go
+++ b/internal/decide/burdockledger/ledger_test.go
@@ -11,11 +11,11 @@
 
 const noon = 1_800_000_000_000 * burdockclock.Millis(1)
 
-func ask(key, request string, birth burdockclock.Millis) KeyedRequest {
-	return KeyedRequest{Key: KeyOf("acme", burdockid.IdempotencyKey(key)), Request: burdockid.Request(request), Fingerprint: 1, CreatedAt: birth}
+func keyedRequest(key, request string, created burdockclock.Millis) KeyedRequest {
+	return KeyedRequest{Key: KeyOf("acme", burdockid.IdempotencyKey(key)), Request: burdockid.Request(request), Fingerprint: 1, CreatedAt: created}
 }
 
-func holding(since burdockclock.Millis) *Ledger {
+func ownerOfAllSlots(since burdockclock.Millis) *Ledger {
 	l := New()
 	for slot := range Slot(SlotCount) {
 		l.AcquireSlot(slot, since)
@@ -23,19 +23,19 @@
 	return l
 }
 
-// dated returns a key that says when it was made.
-func dated(at burdockclock.Millis) burdockid.IdempotencyKey {
+// timeOrderedKey returns a key that contains its creation time.
+func timeOrderedKey(at burdockclock.Millis) burdockid.IdempotencyKey {
 	digits := fmt.Sprintf("%012x", int64(at))
 	return burdockid.IdempotencyKey(digits[:8] + "-" + digits[8:] + "-7abc-8def-0123456789ab")
 }
 
-func TestBirth(t *testing.T) {
+func TestCreationTime(t *testing.T) {
 	cases := []struct {
 		key  burdockid.IdempotencyKey
 		want burdockclock.Millis
 		ok   bool
 	}{
-		{dated(noon), noon, true},
+		{timeOrderedKey(noon), noon, true},
 		{"0192f0c1-2b3c-4abc-8def-0123456789ab", 0, false}, // version 4
 		{"letter-2031-q1", 0, false},
 		{"zzzzzzzz-zzzz-7abc-8def-0123456789ab", 0, false},
@@ -43,164 +43,165 @@
 	}
 	for _, c := range cases {
 		if got, ok := CreationTime(c.key); got != c.want || ok != c.ok {
-			t.Errorf("Birth(%q) = %d, %v; want %d, %v", c.key, got, ok, c.want, c.ok)
+			t.Errorf("CreationTime(%q) = %d, %v; want %d, %v", c.key, got, ok, c.want, c.ok)
 		}
 	}
 }
 
-// A caller repeats a key and gets the first run's answer, not a second run.
+// A caller that repeats a key gets the answer of the first run, not a second run.
 func TestRepeatAttaches(t *testing.T) {
-	l := holding(0)
-	if got := l.Decide(noon, ask("k", "first", 0)); got != (Run{}) {
+	l := ownerOfAllSlots(0)
+	if got := l.Decide(noon, keyedRequest("k", "first", 0)); got != (Run{}) {
 		t.Fatalf("first: got %#v, want Run", got)
 	}
-	l.RecordOutcome(ask("k", "", 0).Key, "first", OutcomeAnswered)
+	l.RecordOutcome(keyedRequest("k", "", 0).Key, "first", OutcomeAnswered)
 	want := Attach{Request: "first", Outcome: OutcomeAnswered}
-	if got := l.Decide(noon+1, ask("k", "second", 0)); got != want {
+	if got := l.Decide(noon+1, keyedRequest("k", "second", 0)); got != want {
 		t.Errorf("repeat: got %#v, want %#v", got, want)
 	}
-	other := ask("k", "third", 0)
+	other := keyedRequest("k", "third", 0)
 	other.Fingerprint = 2
 	if got := l.Decide(noon+2, other); got != (Reused{}) {
-		t.Errorf("the key with another request: got %#v, want Reused", got)
+		t.Errorf("key with another request: got %#v, want Reused", got)
 	}
 }
 
-func TestNotRunMayComeAgain(t *testing.T) {
-	l := holding(0)
-	l.Decide(noon, ask("k", "first", 0))
-	l.RecordNotRun(ask("k", "", 0).Key, "first")
-	if got := l.Decide(noon+1, ask("k", "second", 0)); got != (Run{}) {
+func TestKeyRunsAfterNotRun(t *testing.T) {
+	l := ownerOfAllSlots(0)
+	l.Decide(noon, keyedRequest("k", "first", 0))
+	l.RecordNotRun(keyedRequest("k", "", 0).Key, "first")
+	if got := l.Decide(noon+1, keyedRequest("k", "second", 0)); got != (Run{}) {
 		t.Errorf("after not run: got %#v, want Run", got)
 	}
 }
 
-// A caller repeats a key at a home that took over from one that was lost. The
-// first run may be in the lost memory, so it is not run again. A key that was
-// made after the takeover can't have run before it.
-func TestTakeoverWithoutMemory(t *testing.T) {
-	l := holding(noon)
+// A caller repeats a key at an owner that took over from one that was lost. The first
+// run may be among the lost records, so the key is not run again. A key that was
+// created after the takeover can't have run before it.
+func TestTakeoverWithoutRecords(t *testing.T) {
+	l := ownerOfAllSlots(noon)
 	cases := []struct {
-		name  string
-		wall  burdockclock.Millis
-		birth burdockclock.Millis
-		want  Decision
+		name    string
+		wall    burdockclock.Millis
+		created burdockclock.Millis
+		want    Decision
 	}{
-		{"made before", noon + 5*burdockclock.Second, noon - 1, MayHaveRun{}},
-		{"made within the skew of clocks", noon + 2*burdockclock.Minute, noon + MaxClockSkew, MayHaveRun{}},
-		{"made after", noon + 2*burdockclock.Minute, noon + MaxClockSkew + 1, Run{}},
-		{"undated, within the repeat window", noon + RepeatWindow, 0, MayHaveRun{}},
-		{"undated, after it", noon + RepeatWindow + MaxClockSkew, 0, Run{}},
+		{"created before the takeover", noon + 5*burdockclock.Second, noon - 1, MayHaveRun{}},
+		{"created within the clock skew", noon + 2*burdockclock.Minute, noon + MaxClockSkew, MayHaveRun{}},
+		{"created after the takeover", noon + 2*burdockclock.Minute, noon + MaxClockSkew + 1, Run{}},
+		{"no creation time, within the repeat window", noon + RepeatWindow, 0, MayHaveRun{}},
+		{"no creation time, after the repeat window", noon + RepeatWindow + MaxClockSkew, 0, Run{}},
 	}
 	for _, c := range cases {
-		if got := l.Decide(c.wall, ask(c.name, c.name, c.birth)); got != c.want {
+		if got := l.Decide(c.wall, keyedRequest(c.name, c.name, c.created)); got != c.want {
 			t.Errorf("%s: got %#v, want %#v", c.name, got, c.want)
 		}
 	}
 }
 
-// A home that is stopped as planned hands its memory to the next, where a
-// repeat attaches and a new key runs at once.
-func TestHandoverKeepsMemory(t *testing.T) {
-	a, b := holding(0), New()
-	a.Decide(noon, ask("k", "first", 0))
-	slot := SlotOf(ask("k", "", 0).Key)
+// An owner that is stopped as planned exports its records to the next one, where a
+// repeated key attaches to the first request.
+func TestHandoverKeepsRecords(t *testing.T) {
+	a, b := ownerOfAllSlots(0), New()
+	a.Decide(noon, keyedRequest("k", "first", 0))
+	slot := SlotOf(keyedRequest("k", "", 0).Key)
 	b.ImportSlot(slot, a.CompleteSince(slot), a.ExportSlot(slot))
 	a.ReleaseSlot(slot)
-	if got, want := b.Decide(noon+1, ask("k", "second", 0)), (Attach{Request: "first", Outcome: OutcomeRunning}); got != want {
-		t.Errorf("repeat at the next home: got %#v, want %#v", got, want)
+	if got, want := b.Decide(noon+1, keyedRequest("k", "second", 0)), (Attach{Request: "first", Outcome: OutcomeRunning}); got != want {
+		t.Errorf("repeat at the next owner: got %#v, want %#v", got, want)
 	}
 	if got, want := a.OwnsSlot(slot), false; got != want {
-		t.Errorf("the old home holds the slot: got %v, want %v", got, want)
+		t.Errorf("slot still belongs to the old owner: got %v, want %v", got, want)
 	}
 }
 
-func TestForgetKeepsTheOldFromRunning(t *testing.T) {
-	l := holding(0)
-	l.Decide(noon, ask("k", "first", noon))
+func TestEvictedKeyDoesNotRunAgain(t *testing.T) {
+	l := ownerOfAllSlots(0)
+	l.Decide(noon, keyedRequest("k", "first", noon))
 	later := noon + Retention + 1
 	l.Evict(later)
 	if got, want := l.Len(), 0; got != want {
 		t.Errorf("keys remembered: got %d, want %d", got, want)
 	}
-	if got := l.Decide(later, ask("k", "again", noon)); got != (MayHaveRun{}) {
-		t.Errorf("a dated key from before the horizon: got %#v, want MayHaveRun", got)
+	if got := l.Decide(later, keyedRequest("k", "again", noon)); got != (MayHaveRun{}) {
+		t.Errorf("key created before the horizon: got %#v, want MayHaveRun", got)
 	}
 }
 
-// A caller's key is refused at first and runs hours later. It is remembered
-// for as long as any other from its run on, not from its first arrival.
-func TestForgetCountsFromTheRun(t *testing.T) {
-	l := holding(0)
-	l.Decide(noon, ask("k", "refused", 0))
-	l.RecordNotRun(ask("k", "", 0).Key, "refused")
+// A key is refused at first and runs hours later. Its retention counts from the run
+// and not from the first arrival.
+func TestRetentionCountsFromTheRun(t *testing.T) {
+	l := ownerOfAllSlots(0)
+	l.Decide(noon, keyedRequest("k", "refused", 0))
+	l.RecordNotRun(keyedRequest("k", "", 0).Key, "refused")
 	later := noon + Retention - burdockclock.Hour
-	l.Decide(later, ask("k", "run", 0))
-	l.RecordOutcome(ask("k", "", 0).Key, "run", OutcomeAnswered)
+	l.Decide(later, keyedRequest("k", "run", 0))
+	l.RecordOutcome(keyedRequest("k", "", 0).Key, "run", OutcomeAnswered)
 	wall := noon + Retention + 1
 	l.Evict(wall)
 	want := Attach{Request: "run", Outcome: OutcomeAnswered}
-	if got := l.Decide(wall, ask("k", "repeat", 0)); got != want {
+	if got := l.Decide(wall, keyedRequest("k", "repeat", 0)); got != want {
 		t.Errorf("repeat an hour after the run: got %#v, want %#v", got, want)
 	}
 }
 
-// A full fleet refuses keys by the hundred thousand. Keys that ran are not
-// forgotten for them, whether they were refused here or went to another home.
-func TestRefusedKeysTakeNoRoom(t *testing.T) {
-	l := holding(0)
-	l.Decide(noon, ask("k", "run", 0))
+// A full fleet refuses hundreds of thousands of keys. They must not cause the eviction
+// of keys that ran, whether they were refused here or went to another owner.
+func TestRefusedKeysDoNotEvict(t *testing.T) {
+	l := ownerOfAllSlots(0)
+	l.Decide(noon, keyedRequest("k", "run", 0))
 	for i := range MaxKeys + 1 {
-		refused := ask(fmt.Sprint("refused ", i), "refused", 0)
+		refused := keyedRequest(fmt.Sprint("refused ", i), "refused", 0)
 		l.Decide(noon+1, refused)
 		l.RecordNotRun(refused.Key, "refused")
 	}
 	l.Evict(noon + 2)
 	want := Attach{Request: "run", Outcome: OutcomeRunning}
-	if got := l.Decide(noon+2, ask("k", "repeat", 0)); got != want {
+	if got := l.Decide(noon+2, keyedRequest("k", "repeat", 0)); got != want {
 		t.Errorf("repeat: got %#v, want %#v", got, want)
 	}
 }
 
-// A slot goes away and comes back with its memory. Each key is in the memory
-// that is handed on next once, as it would be had the slot stayed.
-func TestDropLeavesNothingBehind(t *testing.T) {
-	l := holding(0)
-	l.Decide(noon, ask("k", "run", 0))
-	slot := SlotOf(ask("k", "", 0).Key)
-	lines := l.ExportSlot(slot)
+// A slot is released and imported again with its records. The next export must
+// contain each key only once.
+func TestReleaseSlotRemovesArrivals(t *testing.T) {
+	l := ownerOfAllSlots(0)
+	l.Decide(noon, keyedRequest("k", "run", 0))
+	slot := SlotOf(keyedRequest("k", "", 0).Key)
+	records := l.ExportSlot(slot)
 	l.ReleaseSlot(slot)
-	l.ImportSlot(slot, 0, lines)
+	l.ImportSlot(slot, 0, records)
 	if got, want := len(l.ExportSlot(slot)), 1; got != want {
-		t.Errorf("lines: got %d, want %d", got, want)
+		t.Errorf("records: got %d, want %d", got, want)
 	}
 }
 
-// Callers repeat keys at random while homes are lost, stopped as planned and
-// replaced. No key runs twice, whatever the order. Clocks are within the skew.
+// Callers repeat keys at random while owners are lost, stopped as planned and
+// replaced. No key runs twice in any order of events. Clocks differ by less than the
+// maximum skew.
 func TestNoKeyRunsTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		wall := noon
-		home := holding(0)
-		ran := map[string]int{}
-		born := map[string]burdockclock.Millis{}
+		owner := ownerOfAllSlots(0)
+		runCount := map[string]int{}
+		createdAt := map[string]burdockclock.Millis{}
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			wall += rapid.SampledFrom([]burdockclock.Millis{1, burdockclock.Second, burdockclock.Minute}).Draw(t, "wait")
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
-				home = holding(wall) // lost, and replaced by one without memory
+				owner = ownerOfAllSlots(wall) // lost and replaced by one without records
 			case 1:
 				next := New()
 				for slot := range Slot(SlotCount) {
-					next.ImportSlot(slot, home.CompleteSince(slot), home.ExportSlot(slot))
+					next.ImportSlot(slot, owner.CompleteSince(slot), owner.ExportSlot(slot))
 				}
-				home = next
+				owner = next
 			default:
 				name := fmt.Sprint("k", rapid.IntRange(0, 4).Draw(t, "key"))
-				repeatKey(home, wall, name, fmt.Sprint("r", i), rapid.Bool().Draw(t, "dated"), ran, born)
+				repeatKey(owner, wall, name, fmt.Sprint("r", i), rapid.Bool().Draw(t, "dated"), runCount, createdAt)
 			}
 		}
-		for name, n := range ran {
+		for name, n := range runCount {
 			if n > 1 {
 				t.Fatalf("%s ran %d times", name, n)
 			}
@@ -208,55 +209,55 @@
 	})
 }
 
-// repeatKey asks for a key as a caller does: within the repeat window of its
-// first use, and with a new key afterwards.
-func repeatKey(home *Ledger, wall burdockclock.Millis, name, request string, isDated bool, ran map[string]int, born map[string]burdockclock.Millis) {
+// repeatKey sends a key as a caller does: it repeats the key within the repeat window
+// of its first use and creates a new one afterwards.
+func repeatKey(owner *Ledger, wall burdockclock.Millis, name, request string, timeOrdered bool, runCount map[string]int, createdAt map[string]burdockclock.Millis) {
 	kind := "undated "
-	if isDated {
+	if timeOrdered {
 		kind = "dated "
 	}
-	first, ok := born[kind+name]
-	if !ok || (!isDated && wall-first > RepeatWindow) {
+	first, ok := createdAt[kind+name]
+	if !ok || (!timeOrdered && wall-first > RepeatWindow) {
 		first = wall
-		born[kind+name] = wall
+		createdAt[kind+name] = wall
 	}
 	full := fmt.Sprint(kind, name, " of ", first)
-	birth := burdockclock.Millis(0)
-	if isDated {
-		birth = first
+	created := burdockclock.Millis(0)
+	if timeOrdered {
+		created = first
 	}
-	if _, runs := home.Decide(wall, ask(full, request, birth)).(Run); runs {
-		ran[full]++
+	if _, runs := owner.Decide(wall, keyedRequest(full, request, created)).(Run); runs {
+		runCount[full]++
 	}
 }
 
 func BenchmarkDecide(b *testing.B) {
-	l := holding(0)
+	l := ownerOfAllSlots(0)
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
-		l.Decide(noon, ask(fmt.Sprint(n), "r", 0))
+		l.Decide(noon, keyedRequest(fmt.Sprint(n), "r", 0))
 	}
 }
 
-// A home takes over a slot whose keys came in between its own. The oldest must
-// be forgotten first, whoever had them: a key that is forgotten before its time
-// is answered with "may have run" though its answer is known.
-func TestTakenKeysAreForgottenInTheirTurn(t *testing.T) {
+// An owner imports a slot whose keys arrived in between those of its other slots. The
+// oldest must be evicted first, whichever owner received them: a key that is evicted
+// too early gets "may have run" although its answer is known.
+func TestImportedKeysAreEvictedInOrder(t *testing.T) {
 	l := New()
 	l.AcquireSlot(SlotOf(Key{1}), 0)
 	for i := range uint64(3) {
 		l.Decide(burdockclock.Millis(10*i+5), KeyedRequest{Key: Key{1, i}, Request: "own"})
 	}
-	// Out of order, as a sender of another release may send them.
-	var lines []HandoverRecord
+	// Out of order, as an agent of another release may send them.
+	var records []HandoverRecord
 	for _, i := range []uint64{2, 0, 1} {
-		lines = append(lines, HandoverRecord{Key: Key{2, i}, Request: "taken", ReceivedAt: burdockclock.Millis(10 * i)})
+		records = append(records, HandoverRecord{Key: Key{2, i}, Request: "taken", ReceivedAt: burdockclock.Millis(10 * i)})
 	}
-	l.ImportSlot(SlotOf(Key{2}), 0, lines)
+	l.ImportSlot(SlotOf(Key{2}), 0, records)
 	for want := 5; want >= 0; want-- {
 		l.Evict(Retention + burdockclock.Millis(5*(5-want)+1))
 		if got := l.Len(); got != want {
-			t.Fatalf("keys that are left: got %d, want %d", got, want)
+			t.Fatalf("remaining keys: got %d, want %d", got, want)
 		}
 	}
 }
