--- a/internal/serve/burdockhosted/engine.go
+++ b/internal/serve/burdockhosted/engine.go
@@ -62,7 +62,7 @@
 		return burdockgroup.EngineStatus{}, err
 	}
 	if load, ok := order.(burdockgroup.LoadMap); ok {
-		e.noteLoad(load.Map, given, before.Orders == after.Orders)
+		e.noteLoad(load.Map, given, before.OrderCount == after.OrderCount)
 		if after, err = e.awaitLoad(ctx, int64(load.Map), after); err != nil {
 			return burdockgroup.EngineStatus{}, err
 		}
@@ -78,7 +78,7 @@
 // names the same count of orders begun, so one at most takes effect.
 func (e *engine) give(ctx context.Context, before RankReport, out RankOrder) (after RankReport, given, err error) {
 	for range mostTries {
-		given = e.rank.Order(ctx, e.epoch, before.Orders, out)
+		given = e.rank.Order(ctx, e.epoch, before.OrderCount, out)
 		if e.lag > 0 {
 			rest(ctx, e.lag)
 		}
@@ -88,7 +88,7 @@
 		if !errorx.IsOfType(given, ErrNoAnswer) {
 			return after, given, nil
 		}
-		if after.Orders != before.Orders {
+		if after.OrderCount != before.OrderCount {
 			return after, nil, nil // an order took effect: the status says which
 		}
 	}
@@ -181,7 +181,7 @@
 		if !now.Held || now.HeldStep != o.Step || burdockid.MapVersion(now.ArmedMap) != o.Switch.Map {
 			return nil, nil
 		}
-		return Go{Step: o.Step}, nil
+		return Resume{Step: o.Step}, nil
 	case burdockgroup.DropSwitch:
 		if !now.Held || now.HeldStep != o.Step || now.ArmedMap == 0 || burdockid.MapVersion(now.ArmedMap) != o.Switch.Map {
 			return nil, nil
--- a/internal/serve/burdockhosted/rank.go
+++ b/internal/serve/burdockhosted/rank.go
@@ -16,13 +16,13 @@
 	Rank  burdockid.Rank
 	Ranks int
 	Open  bool // the group runs
-	// Born is when the engine started, in milliseconds; 0 if it doesn't say.
-	Born int64
-	// Orders counts the orders that the engine has begun.
-	Orders int64
-	Busy   bool
-	Step   burdockid.Step // last pass that was begun
-	Map    int64          // 0 is the map that each epoch begins with
+	// StartedAt is when the engine started, in milliseconds; 0 if it doesn't say.
+	StartedAt int64
+	// OrderCount counts the orders that the engine has begun.
+	OrderCount int64
+	Busy       bool
+	Step       burdockid.Step // last pass that was begun
+	Map        int64          // 0 is the map that each epoch begins with
 	// Prepared is the map whose copy is complete; 0 for none.
 	Prepared  int64
 	ArmedMap  int64 // 0 for none
@@ -34,7 +34,7 @@
 	Slowdown *float64
 }
 
-// RankOrder is one of Prepare, Arm, Disarm, Hold and Go.
+// RankOrder is one of Prepare, Arm, Disarm, Hold and Resume.
 type RankOrder interface{ rankOrder() }
 
 // Prepare has the engine copy the experts that a map gives it. Experts holds
@@ -53,17 +53,17 @@
 // Disarm takes back an Arm.
 type Disarm struct{ Version int64 }
 
-// Hold keeps the group from beginning a pass until Go.
+// Hold keeps the group from beginning a pass until Resume.
 type Hold struct{ Step burdockid.Step }
 
-// Go ends a Hold.
-type Go struct{ Step burdockid.Step }
+// Resume ends a Hold.
+type Resume struct{ Step burdockid.Step }
 
 func (Prepare) rankOrder() {}
 func (Arm) rankOrder()     {}
 func (Disarm) rankOrder()  {}
 func (Hold) rankOrder()    {}
-func (Go) rankOrder()      {}
+func (Resume) rankOrder()  {}
 
 // Rank is the engine of one rank, on the same VM.
 type Rank interface {
--- a/internal/serve/burdockhosted/schedule_test.go
+++ b/internal/serve/burdockhosted/schedule_test.go
@@ -87,7 +87,7 @@
 func (r *fakeRank) Report(context.Context) (RankReport, error) {
 	report := RankReport{
 		Group: "g", Epoch: 1, Rank: burdockid.Rank(r.number), Ranks: len(r.group.ranks), Open: true,
-		Orders: r.orders, Step: r.group.step, Map: r.version, ArmedMap: r.armed, ArmedStep: r.armedStep,
+		OrderCount: r.orders, Step: r.group.step, Map: r.version, ArmedMap: r.armed, ArmedStep: r.armedStep,
 		Held: r.held, HeldStep: r.heldStep,
 	}
 	if r.group.now >= r.readyAt {
@@ -142,7 +142,7 @@
 		if fits {
 			r.held, r.heldStep = true, o.Step
 		}
-	case Go:
+	case Resume:
 		fits = fits && r.held && r.heldStep == o.Step
 		if fits {
 			r.held = false
