--- a/internal/serve/burdockhosted/schedule_test.go
+++ b/internal/serve/burdockhosted/schedule_test.go
@@ -87,7 +87,7 @@
 func (r *fakeRank) Report(context.Context) (RankReport, error) {
 	report := RankReport{
 		Group: "g", Epoch: 1, Rank: burdockid.Rank(r.number), Ranks: len(r.group.ranks), Open: true,
-		Orders: r.orders, Step: r.group.step, Map: r.version, ArmedMap: r.armed, ArmedStep: r.armedStep,
+		OrderCount: r.orders, Step: r.group.step, Map: r.version, ArmedMap: r.armed, ArmedStep: r.armedStep,
 		Held: r.held, HeldStep: r.heldStep,
 	}
 	if r.group.now >= r.readyAt {
@@ -142,7 +142,7 @@
 		if fits {
 			r.held, r.heldStep = true, o.Step
 		}
-	case Go:
+	case Resume:
 		fits = fits && r.held && r.heldStep == o.Step
 		if fits {
 			r.held = false
@@ -249,7 +249,7 @@
 // start replaces a controller by a new one.
 func (s *schedule) start(c int) {
 	cfg := burdockgroup.DefaultControllerConfig(len(s.ranks))
-	pace(0).Controller(&cfg)
+	pace(0).AdjustController(&cfg)
 	s.controllers[c], s.proxies[c] = burdockgroup.NewController(cfg), make([]*proxyModel, len(s.ranks))
 	s.asleep[c], s.believed[c] = false, burdockgroup.Lease{}
 }
@@ -294,7 +294,7 @@
 				report := out.Report
 				s.mail = append(s.mail, letter{at: s.now + s.delay(), controller: c, report: &report})
 			}
-		case burdockgroup.SayWaiting:
+		case burdockgroup.NotifyWaiting:
 			for c := range s.controllers {
 				s.tell(c, burdockgroup.RankWaiting(out))
 			}
--- a/internal/serve/burdockrank/duty.go
+++ b/internal/serve/burdockrank/duty.go
@@ -37,7 +37,7 @@
 
 func newDuty(m *member, random *rand.Rand) *duty {
 	cfg := burdockgroup.DefaultControllerConfig(m.seat.Ranks)
-	if adjust := m.deps.Pace.Controller; adjust != nil {
+	if adjust := m.deps.Tuning.AdjustController; adjust != nil {
 		adjust(&cfg)
 	}
 	d := &duty{member: m, controller: burdockgroup.NewController(cfg)}
@@ -49,7 +49,7 @@
 // loop lets the controller and the planner look at the time.
 func (d *duty) loop() {
 	defer d.member.done.Done()
-	ticker := time.NewTicker(d.member.deps.Pace.Tick.Duration())
+	ticker := time.NewTicker(d.member.deps.Tuning.TickInterval.Duration())
 	defer ticker.Stop()
 	for {
 		select {
@@ -93,14 +93,14 @@
 		d.plan.inForce(out.Map)
 		m.deps.Log.Info("map in force", zap.String("group", m.seat.Group), zap.Uint64("map", uint64(out.Map)),
 			zap.String("phases", phases(d.controller.State().Events)))
-	case burdockgroup.MapRefused:
+	case burdockgroup.MapLoadFailed:
 		d.plan.refused()
 		m.deps.Log.Warn("a rank could not load the map", zap.Uint64("map", uint64(out.Map)), zap.Int("rank", int(out.Rank)))
 	case burdockgroup.SteppedDown:
 		d.plan.reset()
 		d.lease.end()
 		m.deps.Log.Info("no longer controls the group", zap.String("group", m.seat.Group), zap.String("reason", string(out.Reason)))
-	case burdockgroup.SplitSeen:
+	case burdockgroup.SplitDetected:
 		d.splitSeen(out)
 	}
 }
@@ -118,7 +118,7 @@
 	return strings.TrimSpace(b.String())
 }
 
-func (d *duty) splitSeen(out burdockgroup.SplitSeen) {
+func (d *duty) splitSeen(out burdockgroup.SplitDetected) {
 	d.member.mu.Lock()
 	defer d.member.mu.Unlock()
 	if out.Split == nil {
@@ -206,7 +206,7 @@
 	msg := orderToWire(m.seat.Group, order)
 	msg.Controller = m.deps.Directory.Agent(m.seat.Group, m.seat.Rank)
 	if !s.mayWrite() {
-		return burdockgroup.Report{}, ErrLapsed.New("the lease has lapsed")
+		return burdockgroup.Report{}, ErrLeaseLapsed.New("the lease has lapsed")
 	}
 	m.traffic.sent(msg)
 	res, err := client.Order(ctx, connect.NewRequest(msg))
--- a/internal/serve/burdockrank/wire.go
+++ b/internal/serve/burdockrank/wire.go
@@ -15,8 +15,8 @@
 // ErrNotMember says that an agent is not in the group that it was asked about.
 var ErrNotMember = Errors.NewType("notMember")
 
-// ErrLapsed says that an order was not sent because the lease has lapsed.
-var ErrLapsed = Errors.NewType("lapsed")
+// ErrLeaseLapsed says that an order was not sent because the lease has lapsed.
+var ErrLeaseLapsed = Errors.NewType("lapsed")
 
 // ErrMalformed says that a message is none that a sound peer sends.
 var ErrMalformed = Errors.NewType("malformed")
@@ -89,7 +89,7 @@
 		From:        int32(r.From),
 		Incarnation: string(r.Incarnation),
 		Refusal:     string(r.Refusal),
-		Highest:     uint64(r.Highest),
+		Highest:     uint64(r.HighestFence),
 		Content:     r.Content,
 	}
 	if r.Refusal == burdockgroup.RefusalNone {
@@ -103,12 +103,12 @@
 
 func reportFromWire(msg *burdockwire.GroupReport) (burdockgroup.Report, error) {
 	r := burdockgroup.Report{
-		Number:      burdockgroup.Number{Fence: burdockid.Fence(msg.GetFence()), Seq: msg.GetSeq()},
-		From:        burdockid.Rank(msg.GetFrom()),
-		Incarnation: burdockid.Incarnation(msg.GetIncarnation()),
-		Refusal:     burdockgroup.Refusal(msg.GetRefusal()),
-		Highest:     burdockid.Fence(msg.GetHighest()),
-		Content:     msg.GetContent(),
+		Number:       burdockgroup.Number{Fence: burdockid.Fence(msg.GetFence()), Seq: msg.GetSeq()},
+		From:         burdockid.Rank(msg.GetFrom()),
+		Incarnation:  burdockid.Incarnation(msg.GetIncarnation()),
+		Refusal:      burdockgroup.Refusal(msg.GetRefusal()),
+		HighestFence: burdockid.Fence(msg.GetHighest()),
+		Content:      msg.GetContent(),
 	}
 	if r.Refusal == burdockgroup.RefusalNone {
 		if msg.GetStatus() == nil {
