--- a/internal/serve/burdockentry/dump.go
+++ b/internal/serve/burdockentry/dump.go
@@ -13,18 +13,18 @@
 
 // State is what a dump shows of an entry.
 type State struct {
-	VM         burdockid.VM         `json:"vm"`
-	DataCentre burdockid.DataCentre `json:"dataCentre"`
-	Draining   bool                 `json:"draining"`
-	Open       int64                `json:"open"`
-	Accounts   Accounts             `json:"accounts"`
-	Services   []PoolState          `json:"services"`
+	VM            burdockid.VM         `json:"vm"`
+	DataCentre    burdockid.DataCentre `json:"dataCentre"`
+	Draining      bool                 `json:"draining"`
+	OpenRequests  int64                `json:"open"`
+	OutcomeCounts OutcomeCounts        `json:"accounts"`
+	Services      []PoolState          `json:"services"`
 }
 
 // PoolState is what a dump shows of the upstreams of one service.
 type PoolState struct {
 	Service   burdockid.Service  `json:"service"`
-	Placing   burdockplace.State `json:"placing"`
+	Placement burdockplace.State `json:"placing"`
 	Ejection  burdockeject.State `json:"ejection"`
 	Health    HealthState        `json:"health"`
 	Retries   burdockretry.State `json:"retries"`
@@ -34,12 +34,12 @@
 // State returns a copy of what the entry knows.
 func (e *Entry) State() State {
 	s := State{
-		VM:         e.cfg.VM,
-		DataCentre: e.cfg.DataCentre,
-		Draining:   e.Draining(),
-		Open:       e.open.Load(),
-		Accounts:   e.accounts.copy(),
-		Services:   []PoolState{},
+		VM:            e.cfg.VM,
+		DataCentre:    e.cfg.DataCentre,
+		Draining:      e.Draining(),
+		OpenRequests:  e.open.Load(),
+		OutcomeCounts: e.accounts.copy(),
+		Services:      []PoolState{},
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -55,7 +55,7 @@
 	defer p.mu.Unlock()
 	return PoolState{
 		Service:   p.service,
-		Placing:   p.placer.State(),
+		Placement: p.placer.State(),
 		Ejection:  p.tracker.State(),
 		Health:    p.health.dump(),
 		Retries:   p.budget.State(now),
--- a/internal/serve/burdockentry/entry.go
+++ b/internal/serve/burdockentry/entry.go
@@ -35,9 +35,9 @@
 	Clock burdockclock.Clock
 	Fleet *burdockfleet.Fleet
 	Peers *burdocktransport.Peers
-	// List is the platform's membership list; nil when there is none.
-	List burdocklist.List
-	Log  *zap.Logger
+	// Membership is the platform's membership list; nil when there is none.
+	Membership burdocklist.List
+	Log        *zap.Logger
 	// Metrics takes the entry's metrics.
 	Metrics *metrics.Set
 	// Seed is what all random choices of the entry follow from.
@@ -76,7 +76,7 @@
 func (e *Entry) Start() {
 	e.done.Add(1)
 	go e.loop()
-	if e.deps.List != nil {
+	if e.deps.Membership != nil {
 		e.done.Add(1)
 		go (&listing{entry: e, states: map[burdockid.VM]burdocklist.State{}}).loop()
 	}
--- a/internal/serve/burdockentry/listing.go
+++ b/internal/serve/burdockentry/listing.go
@@ -40,7 +40,7 @@
 // read acts on what changed since the last reading. What the list has shown
 // all along is old news, which agents know better.
 func (l *listing) read(ctx context.Context) {
-	vms, err := l.entry.deps.List.VMs(ctx)
+	vms, err := l.entry.deps.Membership.VMs(ctx)
 	if err != nil {
 		l.entry.deps.Log.Debug("membership list not read", zap.Error(err))
 		return
--- a/internal/serve/burdockentry/serve.go
+++ b/internal/serve/burdockentry/serve.go
@@ -17,8 +17,8 @@
 // got its configuration.
 const notReadyRetry = burdockclock.Second
 
-// Accounts count how callers' requests ended, by outcome.
-type Accounts map[outcomeName]int
+// OutcomeCounts holds the number of ended requests by outcome.
+type OutcomeCounts map[outcomeName]int
 
 // outcomeName is how a request ended, for the log, the metrics and the dump.
 type outcomeName string
@@ -34,22 +34,22 @@
 
 type accounts struct {
 	mu     sync.Mutex
-	counts Accounts
+	counts OutcomeCounts
 }
 
 func (a *accounts) add(name outcomeName) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.counts == nil {
-		a.counts = Accounts{}
+		a.counts = OutcomeCounts{}
 	}
 	a.counts[name]++
 }
 
-func (a *accounts) copy() Accounts {
+func (a *accounts) copy() OutcomeCounts {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	copied := Accounts{}
+	copied := OutcomeCounts{}
 	for name, n := range a.counts {
 		copied[name] = n
 	}
--- a/internal/serve/burdockprocess/entry.go
+++ b/internal/serve/burdockprocess/entry.go
@@ -37,13 +37,13 @@
 	e.entry = burdockentry.New(
 		burdockentry.Config{VM: settings.VM, DataCentre: settings.DataCentre, Limits: settings.Limits},
 		burdockentry.Deps{
-			Clock:   n.clock,
-			Fleet:   n.fleet,
-			Peers:   n.peers,
-			List:    burdocklist.NewHTTP("http://" + settings.MembershipAddress),
-			Log:     log,
-			Metrics: n.metrics,
-			Seed:    rand.Uint64(),
+			Clock:      n.clock,
+			Fleet:      n.fleet,
+			Peers:      n.peers,
+			Membership: burdocklist.NewHTTP("http://" + settings.MembershipAddress),
+			Log:        log,
+			Metrics:    n.metrics,
+			Seed:       rand.Uint64(),
 		},
 	)
 	mux := http.NewServeMux()
