--- a/internal/serve/burdockagent/agent.go
+++ b/internal/serve/burdockagent/agent.go
@@ -45,9 +45,9 @@
 	Fleet  *burdockfleet.Fleet
 	// Verified reports whether the process knows that it is not cut off.
 	Verified func() bool
-	// Heard takes the digest of the configuration that an entry holds.
-	Heard func(burdockconfig.Digest)
-	Log   *zap.Logger
+	// OnConfigDigest takes the digest of the configuration that an entry holds.
+	OnConfigDigest func(burdockconfig.Digest)
+	Log            *zap.Logger
 	// Metrics takes the agent's metrics.
 	Metrics *metrics.Set
 	Random  *rand.Rand
@@ -71,7 +71,7 @@
 	memory   *memory
 	keyed    *keyed
 	draining bool
-	counts   Counts
+	counts   OutcomeCounts
 	meters   meters
 }
 
--- a/internal/serve/burdockagent/agent_test.go
+++ b/internal/serve/burdockagent/agent_test.go
@@ -42,14 +42,14 @@
 	engineServer := httptest.NewServer(r.engine)
 	t.Cleanup(engineServer.Close)
 	r.agent = New(Config{Upstream: "u-1", Service: "llm-pool", Slots: 4}, Deps{
-		Clock:    r.clock.Clock(),
-		Engine:   burdockengine.NewHTTP(strings.TrimPrefix(engineServer.URL, "http://")),
-		Fleet:    burdockfleet.Follow(burdockconfig.NewView()),
-		Verified: func() bool { return true },
-		Heard:    func(burdockconfig.Digest) {},
-		Log:      zap.NewNop(),
-		Metrics:  metrics.NewSet(),
-		Random:   rand.New(rand.NewPCG(1, 2)),
+		Clock:          r.clock.Clock(),
+		Engine:         burdockengine.NewHTTP(strings.TrimPrefix(engineServer.URL, "http://")),
+		Fleet:          burdockfleet.Follow(burdockconfig.NewView()),
+		Verified:       func() bool { return true },
+		OnConfigDigest: func(burdockconfig.Digest) {},
+		Log:            zap.NewNop(),
+		Metrics:        metrics.NewSet(),
+		Random:         rand.New(rand.NewPCG(1, 2)),
 	})
 	r.clock.Advance(uptime)
 	r.agent.Start()
@@ -252,7 +252,7 @@
 	r.agent.mu.Lock()
 	r.agent.keyed.ledger.AcquireSlot(0, 0)
 	r.agent.mu.Unlock()
-	homes := NewHomes(r.agent, nil, burdockconfig.NewView(), nil)
+	homes := NewKeySlotManager(r.agent, nil, burdockconfig.NewView(), nil)
 	homes.Start()
 	defer homes.Close()
 	if homes.Released() {
--- a/internal/serve/burdockagent/cluster_test.go
+++ b/internal/serve/burdockagent/cluster_test.go
@@ -89,7 +89,7 @@
 	view    *burdockconfig.View
 	fleet   *burdockfleet.Fleet
 	watcher *burdocksync.Watcher
-	homes   *Homes
+	homes   *KeySlotManager
 	engine  *mortalEngine
 	cancel  context.CancelFunc
 	done    sync.WaitGroup
@@ -258,7 +258,7 @@
 	clock := c.clock.Clock()
 	l.agent = New(Config{Upstream: m.name, VM: burdockid.VM(m.name), Service: historyService, Slots: 4}, Deps{
 		Clock: clock, Engine: l.engine, Fleet: l.fleet, Verified: func() bool { return true },
-		Heard: func(burdockconfig.Digest) {}, Log: zap.NewNop(), Metrics: metrics.NewSet(),
+		OnConfigDigest: func(burdockconfig.Digest) {}, Log: zap.NewNop(), Metrics: metrics.NewSet(),
 		Random: rand.New(rand.NewPCG(1, 2)),
 	})
 	mux := http.NewServeMux()
@@ -266,7 +266,7 @@
 	l.handler = mux
 	store := burdockstore.NewHTTP([]string{c.address})
 	l.watcher = burdocksync.NewWatcher(store, l.view, burdocksync.NewSource(clock), clock, zap.NewNop())
-	l.homes = NewHomes(l.agent, burdocksync.NewWriter(store), l.view, burdocktransport.NewPeers(nil))
+	l.homes = NewKeySlotManager(l.agent, burdocksync.NewWriter(store), l.view, burdocktransport.NewPeers(nil))
 	ctx, cancel := context.WithCancel(context.Background())
 	l.cancel = cancel
 	l.agent.Start()
--- a/internal/serve/burdockagent/dump.go
+++ b/internal/serve/burdockagent/dump.go
@@ -12,14 +12,14 @@
 
 // State is what a dump shows of an agent.
 type State struct {
-	Upstream    burdockid.Upstream    `json:"upstream"`
-	Service     burdockid.Service     `json:"service"`
-	Incarnation burdockid.Incarnation `json:"incarnation"`
-	UpMillis    burdockclock.Millis   `json:"upMillis"`
-	Draining    bool                  `json:"draining"`
-	Counts      Counts                `json:"counts"`
-	Queue       burdockqueue.State    `json:"queue"`
-	Requests    []RequestState        `json:"requests"`
+	Upstream     burdockid.Upstream    `json:"upstream"`
+	Service      burdockid.Service     `json:"service"`
+	Incarnation  burdockid.Incarnation `json:"incarnation"`
+	UptimeMillis burdockclock.Millis   `json:"upMillis"`
+	Draining     bool                  `json:"draining"`
+	Counts       OutcomeCounts         `json:"counts"`
+	Queue        burdockqueue.State    `json:"queue"`
+	Requests     []RequestState        `json:"requests"`
 }
 
 // RequestState is what a dump shows of one request.
@@ -39,14 +39,14 @@
 	defer a.mu.Unlock()
 	now := a.deps.Clock.Boot()
 	s := State{
-		Upstream:    a.cfg.Upstream,
-		Service:     a.policy.service,
-		Incarnation: a.incarnation,
-		UpMillis:    now - a.started,
-		Draining:    a.draining,
-		Counts:      a.counts,
-		Queue:       a.queue.State(),
-		Requests:    []RequestState{},
+		Upstream:     a.cfg.Upstream,
+		Service:      a.policy.service,
+		Incarnation:  a.incarnation,
+		UptimeMillis: now - a.started,
+		Draining:     a.draining,
+		Counts:       a.counts,
+		Queue:        a.queue.State(),
+		Requests:     []RequestState{},
 	}
 	for _, j := range a.jobs {
 		s.Requests = append(s.Requests, j.state(now))
--- a/internal/serve/burdockagent/finish.go
+++ b/internal/serve/burdockagent/finish.go
@@ -17,9 +17,9 @@
 	cancelOrphaned cancelCause = "nobody came back for the answer"
 )
 
-// Counts are the accounts of an agent since its start. At rest, Offered is
+// OutcomeCounts counts the requests of an agent since its start. At rest, Offered is
 // the sum of the others.
-type Counts struct {
+type OutcomeCounts struct {
 	Offered   int `json:"offered"`
 	Repeated  int `json:"repeated"` // got the answer of an earlier request with their key
 	Answered  int `json:"answered"`
--- a/internal/serve/burdockagent/fuzz_test.go
+++ b/internal/serve/burdockagent/fuzz_test.go
@@ -49,7 +49,7 @@
 	clock := burdockclock.NewManual(clusterStart)
 	a := New(Config{Upstream: "u-1", Service: "llm-pool", Slots: 4}, Deps{
 		Clock: clock.Clock(), Engine: engine, Fleet: burdockfleet.Follow(burdockconfig.NewView()),
-		Verified: func() bool { return true }, Heard: func(burdockconfig.Digest) {}, Log: zap.NewNop(),
+		Verified: func() bool { return true }, OnConfigDigest: func(burdockconfig.Digest) {}, Log: zap.NewNop(),
 		Metrics: metrics.NewSet(), Random: rand.New(rand.NewPCG(1, 2)),
 	})
 	for slot := range burdockledger.Slot(burdockledger.SlotCount) {
--- a/internal/serve/burdockagent/handover.go
+++ b/internal/serve/burdockagent/handover.go
@@ -21,7 +21,7 @@
 // each undated key, with "may have run". The memory goes to the successor
 // first and the home changes afterwards in one write, so at every moment one
 // home has all of it.
-func (h *Homes) handOver(ctx context.Context, service burdockid.Service, most int, which func(burdockledger.Slot) bool) {
+func (h *KeySlotManager) handOver(ctx context.Context, service burdockid.Service, most int, which func(burdockledger.Slot) bool) {
 	var tasks []task
 	for slot := range burdockledger.Slot(burdockledger.SlotCount) {
 		if len(tasks) < most && h.agent.holdsIdle(slot) && which(slot) {
@@ -36,7 +36,7 @@
 	}
 }
 
-func (h *Homes) handOverSlot(ctx context.Context, service burdockid.Service, slot burdockledger.Slot) {
+func (h *KeySlotManager) handOverSlot(ctx context.Context, service burdockid.Service, slot burdockledger.Slot) {
 	offer, base, ok := h.agent.beginMove(slot)
 	if !ok {
 		return
@@ -59,7 +59,7 @@
 // While it is open the slot runs nothing: the write may yet take effect, and
 // the next home would not know of what ran here. The same write is tried
 // again over the same version, so that one of the tries decides.
-func (h *Homes) settle(ctx context.Context, service burdockid.Service, slot burdockledger.Slot, m move) {
+func (h *KeySlotManager) settle(ctx context.Context, service burdockid.Service, slot burdockledger.Slot, m move) {
 	outcome := h.write(ctx, service, slot, m)
 	if outcome == writeLost {
 		h.agent.endMove(slot)
@@ -74,7 +74,7 @@
 }
 
 // settleOpen tries all open handovers again.
-func (h *Homes) settleOpen(ctx context.Context, service burdockid.Service) {
+func (h *KeySlotManager) settleOpen(ctx context.Context, service burdockid.Service) {
 	h.mu.Lock()
 	var tasks []task
 	for slot, m := range h.open {
@@ -84,7 +84,7 @@
 	runAll(ctx, tasks)
 }
 
-func (h *Homes) openMoves() int {
+func (h *KeySlotManager) openMoves() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.open)
@@ -93,7 +93,7 @@
 // successor finds the first agent that a slot prefers and that takes its
 // memory. Unless this agent leaves, only those count that the slot prefers to
 // it.
-func (h *Homes) successor(ctx context.Context, service burdockid.Service, slot burdockledger.Slot, offer *burdockwire.TakeKeysRequest) (burdockid.Upstream, burdockid.Incarnation, bool) {
+func (h *KeySlotManager) successor(ctx context.Context, service burdockid.Service, slot burdockledger.Slot, offer *burdockwire.TakeKeysRequest) (burdockid.Upstream, burdockid.Incarnation, bool) {
 	for _, next := range h.successors(service, slot) {
 		switch {
 		case next.Name != h.agent.cfg.Upstream:
@@ -118,19 +118,19 @@
 // its keys would be refused most of the time.
 const avoidLength = 15 * burdockclock.Second
 
-func (h *Homes) avoids(u burdockid.Upstream) bool {
+func (h *KeySlotManager) avoids(u burdockid.Upstream) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.agent.deps.Clock.Boot() < h.avoid[u]
 }
 
-func (h *Homes) avoidFor(u burdockid.Upstream) {
+func (h *KeySlotManager) avoidFor(u burdockid.Upstream) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.avoid[u] = h.agent.deps.Clock.Boot() + avoidLength
 }
 
-func (h *Homes) offer(ctx context.Context, next burdockmember.Upstream, offer *burdockwire.TakeKeysRequest) (burdockid.Incarnation, bool) {
+func (h *KeySlotManager) offer(ctx context.Context, next burdockmember.Upstream, offer *burdockwire.TakeKeysRequest) (burdockid.Incarnation, bool) {
 	ctx, cancel := context.WithTimeout(ctx, takeTimeout)
 	defer cancel()
 	client := burdockwire.NewAgentServiceClient(h.peers.Client, h.peers.URL(next.Agent), burdocktransport.ClientOptions()...)
--- a/internal/serve/burdockagent/homes.go
+++ b/internal/serve/burdockagent/homes.go
@@ -30,10 +30,10 @@
 	returnsAtOnce = 4
 )
 
-// Homes looks after the homes of keys on behalf of one agent: it claims slots
+// KeySlotManager looks after the homes of keys on behalf of one agent: it claims slots
 // that have none, and hands slots over when the agent leaves or when another
 // is preferred.
-type Homes struct {
+type KeySlotManager struct {
 	agent   *Agent
 	writer  *burdocksync.Writer
 	view    *burdockconfig.View
@@ -70,13 +70,13 @@
 	writeOpen
 )
 
-// NewHomes returns a keeper of homes that is not yet running.
-func NewHomes(agent *Agent, writer *burdocksync.Writer, view *burdockconfig.View, peers *burdocktransport.Peers) *Homes {
-	return &Homes{agent: agent, writer: writer, view: view, peers: peers, open: map[burdockledger.Slot]move{}, avoid: map[burdockid.Upstream]burdockclock.Millis{}}
+// NewKeySlotManager returns a keeper of homes that is not yet running.
+func NewKeySlotManager(agent *Agent, writer *burdocksync.Writer, view *burdockconfig.View, peers *burdocktransport.Peers) *KeySlotManager {
+	return &KeySlotManager{agent: agent, writer: writer, view: view, peers: peers, open: map[burdockledger.Slot]move{}, avoid: map[burdockid.Upstream]burdockclock.Millis{}}
 }
 
 // Start begins to look after the homes.
-func (h *Homes) Start() {
+func (h *KeySlotManager) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	h.cancel = cancel
 	h.done.Add(1)
@@ -84,12 +84,12 @@
 }
 
 // Close ends it.
-func (h *Homes) Close() {
+func (h *KeySlotManager) Close() {
 	h.cancel()
 	h.done.Wait()
 }
 
-func (h *Homes) loop(ctx context.Context) {
+func (h *KeySlotManager) loop(ctx context.Context) {
 	defer h.done.Done()
 	ticker := time.NewTicker(homesEvery)
 	defer ticker.Stop()
@@ -103,7 +103,7 @@
 	}
 }
 
-func (h *Homes) once(ctx context.Context) {
+func (h *KeySlotManager) once(ctx context.Context) {
 	a := h.agent
 	a.mu.Lock()
 	service, draining := a.policy.service, a.draining
@@ -130,7 +130,7 @@
 // memory.
 const fruitlessMost = 4
 
-func (h *Homes) leave(ctx context.Context, service burdockid.Service) {
+func (h *KeySlotManager) leave(ctx context.Context, service burdockid.Service) {
 	before := h.agent.heldSlots()
 	h.handOver(ctx, service, burdockledger.SlotCount, func(burdockledger.Slot) bool { return true })
 	if h.agent.heldSlots() < before || !h.agent.Idle() {
@@ -142,12 +142,12 @@
 
 // Released reports whether a leaving agent is the home of no key any longer,
 // or can't change that.
-func (h *Homes) Released() bool {
+func (h *KeySlotManager) Released() bool {
 	return h.agent.heldSlots() == 0 || h.fruitless.Load() >= fruitlessMost
 }
 
 // claim writes this agent's name on slots without a home.
-func (h *Homes) claim(ctx context.Context, service burdockid.Service) {
+func (h *KeySlotManager) claim(ctx context.Context, service burdockid.Service) {
 	a := h.agent
 	if h.claimer == nil {
 		h.claimer = burdockhome.NewClaimer(burdockhome.Self{Service: service, Upstream: a.cfg.Upstream, Incarnation: a.incarnation})
@@ -175,7 +175,7 @@
 }
 
 // write puts a home into the store, and takes up here what is then there.
-func (h *Homes) write(ctx context.Context, service burdockid.Service, slot burdockledger.Slot, m move) written {
+func (h *KeySlotManager) write(ctx context.Context, service burdockid.Service, slot burdockledger.Slot, m move) written {
 	value, err := burdockhome.Encode(m.home)
 	if err != nil {
 		panic(err) // strings and numbers can always be encoded
@@ -198,14 +198,14 @@
 
 // elsewhere reports whether a slot prefers another upstream to this one, and
 // that one may be asked.
-func (h *Homes) elsewhere(service burdockid.Service, slot burdockledger.Slot) bool {
+func (h *KeySlotManager) elsewhere(service burdockid.Service, slot burdockledger.Slot) bool {
 	members := names(h.agent.deps.Fleet.Now().Members[service])
 	first := burdockhome.Order(service, slot, members)[0]
 	return first != h.agent.cfg.Upstream && !h.avoids(first)
 }
 
 // successors returns the members in the order that a slot prefers.
-func (h *Homes) successors(service burdockid.Service, slot burdockledger.Slot) []burdockmember.Upstream {
+func (h *KeySlotManager) successors(service burdockid.Service, slot burdockledger.Slot) []burdockmember.Upstream {
 	fleet := h.agent.deps.Fleet.Now()
 	order := burdockhome.Order(service, slot, names(fleet.Members[service]))
 	members := make([]burdockmember.Upstream, len(order))
--- a/internal/serve/burdockagent/rpc.go
+++ b/internal/serve/burdockagent/rpc.go
@@ -18,7 +18,7 @@
 
 // Run implements burdockwire.AgentServiceHandler.
 func (a *Agent) Run(ctx context.Context, req *connect.Request[burdockwire.RunRequest], stream *connect.ServerStream[burdockwire.RunEvent]) error {
-	a.deps.Heard(burdockconfig.Digest(req.Msg.GetConfigDigest()))
+	a.deps.OnConfigDigest(burdockconfig.Digest(req.Msg.GetConfigDigest()))
 	j, no := a.admit(req.Msg)
 	if no != nil {
 		return stream.Send(no)
--- a/internal/serve/burdockagent/task.go
+++ b/internal/serve/burdockagent/task.go
@@ -15,7 +15,7 @@
 
 // task is one slot's work with other agents and the store.
 type task struct {
-	homes   *Homes
+	homes   *KeySlotManager
 	service burdockid.Service
 	slot    burdockledger.Slot
 	do      action
--- a/internal/serve/burdockprocess/agent.go
+++ b/internal/serve/burdockprocess/agent.go
@@ -20,7 +20,7 @@
 type Agent struct {
 	*node
 	agent  *burdockagent.Agent
-	homes  *burdockagent.Homes
+	homes  *burdockagent.KeySlotManager
 	rank   *burdockrank.Host
 	puller *burdocksync.Puller
 	reader *burdocksync.Fallback
@@ -38,14 +38,14 @@
 	a.agent = burdockagent.New(
 		burdockagent.Config{Upstream: settings.Upstream, VM: settings.VM, Slots: settings.Slots},
 		burdockagent.Deps{
-			Clock:    n.clock,
-			Engine:   burdockengine.NewHTTP(settings.EngineAddress),
-			Fleet:    n.fleet,
-			Verified: n.source.Verified,
-			Heard:    a.puller.Heard,
-			Log:      log,
-			Metrics:  n.metrics,
-			Random:   rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+			Clock:          n.clock,
+			Engine:         burdockengine.NewHTTP(settings.EngineAddress),
+			Fleet:          n.fleet,
+			Verified:       n.source.Verified,
+			OnConfigDigest: a.puller.Heard,
+			Log:            log,
+			Metrics:        n.metrics,
+			Random:         rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		},
 	)
 	a.rank = burdockrank.NewHost(settings.Upstream, burdockrank.Deps{
@@ -59,7 +59,7 @@
 	if err := n.listen(a.peerHandler(), a); err != nil {
 		return nil, err
 	}
-	a.homes = burdockagent.NewHomes(a.agent, burdocksync.NewWriter(n.store), n.view, n.peers)
+	a.homes = burdockagent.NewKeySlotManager(a.agent, burdocksync.NewWriter(n.store), n.view, n.peers)
 	a.reader = burdocksync.NewFallback(n.store, n.view, n.source, n.entryPeers, log)
 	a.agent.Start()
 	a.puller.Start()
