--- a/internal/group/burdockgroup/change.go
+++ b/internal/group/burdockgroup/change.go
@@ -12,93 +12,95 @@
 	return c.fire(e, "")
 }
 
-func (c *Controller) rest() bool {
-	c.wantAnyMap()
-	if c.mayChange() {
-		c.noteInForce()
+func (c *Controller) checkResting() bool {
+	c.restoreLastMap()
+	if c.canStartChange() {
+		c.updateInForce()
 		if c.wanted != nil {
 			c.startChange()
 			return c.fire(controllerMapWanted, "")
 		}
 	}
 	rested := c.now - c.since
-	if c.nudges.due(rested, c.cfg) {
-		c.surprise("a rank waits")
+	if c.trigger.due(rested, c.cfg) {
+		c.readAgain("a rank is waiting")
 		return true
 	}
-	if rested < c.restTime() {
+	if rested < c.pollInterval() {
 		return false
 	}
-	c.surprise("time to read again")
+	c.readAgain("poll interval elapsed")
 	return true
 }
 
-// mayChange reports whether a change is wanted and the group is ready for it.
-// One that contradicts itself is left alone: no order to it is known to be safe.
-func (c *Controller) mayChange() bool {
-	return c.wanted != nil && c.now >= c.changeAt && !c.passing && !c.contrary && c.baseKnown()
+// canStartChange reports whether a change is wanted and the group is ready for it. A
+// group whose ranks contradict each other is left alone, because no order to it is known
+// to be safe.
+func (c *Controller) canStartChange() bool {
+	return c.wanted != nil && c.now >= c.nextChangeAt && !c.switchPending && !c.inconsistent && c.ensureBaseContent()
 }
 
-// restTime returns the time between two readings of the group.
-func (c *Controller) restTime() burdockclock.Millis {
-	if c.passing && !c.contrary {
+// pollInterval returns the time between two readings of the group.
+func (c *Controller) pollInterval() burdockclock.Millis {
+	if c.switchPending && !c.inconsistent {
 		return cmp.Or(c.cfg.SwitchPoll, c.cfg.Retry)
 	}
 	return c.cfg.Poll
 }
 
-// baseKnown reports whether the content of the map in use is known, and asks
-// for it if not. A controller that ended the change of its predecessor wants
-// the same content, and would have every rank load it a second time.
-func (c *Controller) baseKnown() bool {
+// ensureBaseContent reports whether the content of the map in use is known, and requests
+// it if not. A controller that completed its predecessor's change wants the same content;
+// unless it can tell, it makes every rank load that content a second time.
+func (c *Controller) ensureBaseContent() bool {
 	base := c.goal.Base
-	if base == 0 || c.contents[base] != nil || c.keeper(base) < 0 {
+	if base == 0 || c.contents[base] != nil || c.contentHolder(base) < 0 {
 		return true
 	}
 	c.fetch(base)
 	return false
 }
 
-// wantAnyMap gives a group that lost all its engines the map that it had. It
-// would stand still otherwise until its popularity calls for another one.
-func (c *Controller) wantAnyMap() {
-	if c.goal.Base != 0 || c.passing || c.wanted != nil {
+// restoreLastMap gives a group that lost all its engines the map that it had. Otherwise
+// the group stays stalled until its popularity calls for another map.
+func (c *Controller) restoreLastMap() {
+	if c.goal.Base != 0 || c.switchPending || c.wanted != nil {
 		return
 	}
-	if c.last != nil {
-		c.wanted = c.last
+	if c.lastContent != nil {
+		c.wanted = c.lastContent
 		return
 	}
-	c.need(0)
+	c.requestMap(0)
 }
 
-// versionBits is the room for versions given out under one lease.
-const versionBits = 16
+// versionCountBits is the number of low bits of a map version that count the versions
+// created under one lease.
+const versionCountBits = 16
 
-// startChange gives the wanted map a version. The fencing number is part of
-// it: two controllers that each count up from the last version would give
-// two maps the same one, and a split could not be seen.
+// startChange gives the wanted map a version, which contains the fencing number. If two
+// controllers each counted up from the last version, two maps could get the same version
+// and a split would go undetected.
 func (c *Controller) startChange() {
-	if c.target == 0 {
-		c.maps++
-		c.target = burdockid.MapVersion(uint64(c.lease.Fence)<<versionBits | uint64(c.maps))
-		c.contents[c.target] = c.wanted
+	if c.wantedVersion == 0 {
+		c.versionCount++
+		c.wantedVersion = burdockid.MapVersion(uint64(c.lease.Fence)<<versionCountBits | uint64(c.versionCount))
+		c.contents[c.wantedVersion] = c.wanted
 	}
-	c.goal = Goal{Kind: GoalLoad, Base: c.goal.Base, Map: c.target}
+	c.goal = Goal{Kind: GoalLoad, Base: c.goal.Base, Map: c.wantedVersion}
 }
 
-// foundEmpty reads again if a rank's engine was replaced before all were armed.
-// Its predecessor may have begun the very step that the new engine is to run
-// next, with the old map, so the change may not be set at that step: the rank
-// has to be brought in with the old map first. Once all were armed, none had
-// begun the step of the change, and a replaced rank comes in as committed.
-func (c *Controller) foundEmpty() bool {
+// rereadIfEmpty reads the group again if a rank's engine was replaced before all ranks
+// were armed. The old engine may have begun the very step that the new one is to run
+// next, with the old map, so the change must not be set at that step: the rank first gets
+// the old map. Once all ranks were armed, none had begun the switch step, and a replaced
+// rank joins as committed.
+func (c *Controller) rereadIfEmpty() bool {
 	if c.goal.Base == 0 {
 		return false
 	}
 	for _, m := range c.members {
 		if m.status.Base == 0 {
-			c.surprise("a rank is empty")
+			c.readAgain("a rank's engine has no map")
 			return true
 		}
 	}
@@ -106,30 +108,30 @@
 }
 
 func (c *Controller) loadAll() bool {
-	if c.foundEmpty() {
+	if c.rereadIfEmpty() {
 		return true
 	}
 	for i, m := range c.members {
-		if m.status.Failed == c.target && m.order == nil {
-			c.emit(MapLoadFailed{Map: c.target, Rank: burdockid.Rank(i)})
-			c.wanted, c.target = nil, 0
-			return c.fire(controllerGiveUp, "a rank could not load it")
+		if m.status.Failed == c.wantedVersion && m.order == nil {
+			c.emit(MapLoadFailed{Map: c.wantedVersion, Rank: burdockid.Rank(i)})
+			c.wanted, c.wantedVersion = nil, 0
+			return c.fire(controllerGiveUp, "a rank could not load the map")
 		}
 	}
 	if !c.drive() || c.lease.Until-c.now < c.armBudget() {
 		return false
 	}
-	if c.now-c.lastAnswer() > c.retry(nil) {
-		// The ranks have run on since; the step would be set too early.
-		c.surprise("statuses are old")
+	if c.now-c.lastAnsweredAt() > c.retryInterval(nil) {
+		// The ranks have run on since; the switch step would be too early.
+		c.readAgain("statuses are too old to set the switch step")
 		return true
 	}
-	c.grown, c.timed = false, true
-	c.goal.At = c.stepOfChange()
+	c.leadGrown, c.leadApplied = false, true
+	c.goal.At = c.switchStep()
 	return c.enter(GoalArm, controllerAllLoaded)
 }
 
-func (c *Controller) lastAnswer() burdockclock.Millis {
+func (c *Controller) lastAnsweredAt() burdockclock.Millis {
 	var last burdockclock.Millis
 	for _, m := range c.members {
 		last = max(last, m.answeredAt)
@@ -137,9 +139,9 @@
 	return last
 }
 
-// stepOfChange returns the step from which the next map is used. A group that
-// has no map yet stands still, so the change is at the step that it is to run.
-func (c *Controller) stepOfChange() burdockid.Step {
+// switchStep returns the first step that uses the next map. A group that has no map yet
+// runs no step, so it switches at the step that it is to run next.
+func (c *Controller) switchStep() burdockid.Step {
 	first, last := c.members[0].status.Next, c.members[0].status.Next
 	for _, m := range c.members {
 		first, last = min(first, m.status.Next), max(last, m.status.Next)
@@ -147,59 +149,57 @@
 	if c.goal.Base == 0 {
 		return first
 	}
-	return last + max(c.lead, c.observedLead(), 1)
+	return last + max(c.lead, c.measuredLead(), 1)
 }
 
-// armAll reads all ranks again if the step of the change came too early. The
-// reading voids the arms that are still on their way: one that took effect
-// after the others were taken back would hold the group.
+// armAll reads all ranks again if a rank has already begun the switch step. The reading
+// voids the arm orders still in flight: one that took effect after the others were
+// aborted would hold the group.
 func (c *Controller) armAll() bool {
-	if c.foundEmpty() {
+	if c.rereadIfEmpty() {
 		return true
 	}
 	for _, m := range c.members {
 		if m.status.Next > c.goal.At && !m.status.heldAt(c.goal.At) {
-			c.pauseChanges()
+			c.delayNextChange()
 			c.growLead()
-			c.forget()
-			return c.fire(controllerTooLate, "a rank has begun the step")
+			c.discardStatuses()
+			return c.fire(controllerTooLate, "a rank has already begun the switch step")
 		}
 	}
 	if c.drive() {
 		return c.enter(GoalCommit, controllerAllArmed)
 	}
-	return c.overdue() && c.letGo()
+	return c.armTimedOut() && c.cancelChange()
 }
 
-// overdue reports whether some rank has not answered for too long that it is
-// armed.
-func (c *Controller) overdue() bool {
-	return c.cfg.ArmTimeout > 0 && c.now-c.since > c.armPatience()
+// armTimedOut reports whether some rank has taken too long to confirm that it is armed.
+func (c *Controller) armTimedOut() bool {
+	return c.cfg.ArmTimeout > 0 && c.now-c.since > c.armTimeout()
 }
 
-// letGo takes the change back at the ranks that answer.
+// cancelChange aborts the change at the ranks that answer.
 //
-// Failure: a rank is cut off or frozen just as the group is to be armed.
-// Symptom: the other ranks stop before the step of the change and the whole
-// group stands, for as long as the rank stays away. None has been told to
-// commit, and none will be in this change, so each may run on with the map that
-// it has. The silent rank stops the group only if its arm did reach it; then it
-// says that it waits once it is back.
-func (c *Controller) letGo() bool {
+// It handles a rank that is cut off or frozen just as the group is to be armed. The other
+// ranks stop before the switch step, and without the abort the whole group stalls for as
+// long as that rank stays away. No rank has been told to commit, and none will be in this
+// change, so each may run on with its present map. The unreachable rank stops the group
+// only if the arm order did reach it; it then reports that it is waiting once it is back.
+func (c *Controller) cancelChange() bool {
 	c.goal = Goal{Kind: GoalRun, Base: c.goal.Base}
 	for i := range c.members {
 		c.members[i].order = nil
 	}
-	return c.fire(controllerOverdue, "a rank does not answer")
+	return c.fire(controllerOverdue, "a rank did not confirm in time that it is armed")
 }
 
-// pauseChanges puts the next attempt off if the lead cannot grow any more. On a
-// network that is slower than MaxLead allows for, each attempt holds the ranks
-// that were armed in time and is then taken back; one after the other would keep
-// the group standing for a change that never comes.
-func (c *Controller) pauseChanges() {
+// delayNextChange postpones the next attempt if the lead cannot grow any more. On a
+// network slower than MaxSwitchLead allows for, each attempt holds the ranks that were
+// armed in time and is then aborted; back-to-back attempts would keep the group stalled
+// for a change that never completes.
+func (c *Controller) delayNextChange() {
 	if c.lead >= c.cfg.MaxSwitchLead {
-		c.changeAt = c.now + c.cfg.Poll
+		c.nextChangeAt = c.now + c.cfg.Poll
 	}
 }
 
@@ -207,7 +207,7 @@
 	if !c.drive() {
 		return c.stuck() && c.enter(GoalWithdraw, controllerStuck)
 	}
-	if c.cfg.MinimizeLead && c.timed && !c.grown {
+	if c.cfg.MinimizeLead && c.leadApplied && !c.leadGrown {
 		c.trimLead()
 	}
 	return c.enter(GoalRelease, controllerAllCommitted)
@@ -217,6 +217,6 @@
 	if !c.drive() || !c.fire(controllerAllReleased, "") {
 		return false
 	}
-	c.forget()
+	c.discardStatuses()
 	return true
 }
--- a/internal/group/burdockgroup/charts.go
+++ b/internal/group/burdockgroup/charts.go
@@ -80,7 +80,7 @@
 )
 
 var (
-	rankChart = load("rank.chart",
+	rankChart = loadChart("rank.chart",
 		[]RankPhase{
 			RankLearning, RankOrdering, RankEmpty, RankRunning, RankArmed, RankCommitted,
 		},
@@ -89,7 +89,7 @@
 			rankSeenEmpty, rankSeenRunning, rankSeenArmed, rankSeenCommitted,
 			rankRead, rankLoad, rankArm, rankCommit, rankRelease, rankAbort, rankBegin, rankWithdraw,
 		})
-	controllerChart = load("controller.chart",
+	controllerChart = loadChart("controller.chart",
 		[]ControllerPhase{
 			ControllerIdle, ControllerReading, ControllerResting, ControllerSettling,
 			ControllerLoading, ControllerArming, ControllerCommitting, ControllerWithdrawing, ControllerReleasing,
@@ -103,9 +103,9 @@
 		})
 )
 
-// load reads one embedded chart. The files are part of the program, so an
-// error is a fault in its source; it can only come up when the program starts.
-func load[S, E ~string](file string, states []S, events []E) burdockchart.Typed[S, E] {
+// loadChart loads one embedded chart. The files are part of the program, so an error is a
+// bug in the source and appears when the program starts.
+func loadChart[S, E ~string](file string, states []S, events []E) burdockchart.Typed[S, E] {
 	chart, err := burdockchart.Load(chartFiles, file)
 	if err != nil {
 		panic("burdockgroup: " + err.Error())
--- a/internal/group/burdockgroup/checker.go
+++ b/internal/group/burdockgroup/checker.go
@@ -6,8 +6,8 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// Split is the failure that this package exists to prevent: one step in which
-// two ranks used different maps.
+// Split describes the failure that this package exists to prevent: two ranks used
+// different maps in one step.
 type Split struct {
 	Step      burdockid.Step       `json:"step"`
 	First     burdockid.Rank       `json:"first"`
@@ -22,25 +22,25 @@
 		s.Step, s.First, s.FirstMap, s.Second, s.SecondMap)
 }
 
-// checkerWindow is the number of steps that a Checker remembers: more than the
-// ranks' reports to one controller can lie apart, and a few kilobytes.
+// checkerWindow is the number of steps that a Checker remembers. It exceeds the distance
+// between the ranks' reports to one controller and takes a few kilobytes.
 const checkerWindow = 256
 
-type ran struct {
+type stepRecord struct {
 	step burdockid.Step
 	rank burdockid.Rank
 	used burdockid.MapVersion
 }
 
-// Checker asserts that in every step all ranks use the same map. The zero
-// value is ready to use.
+// Checker checks that all ranks use the same map in every step. The zero value is ready
+// to use.
 type Checker struct {
-	steps [checkerWindow]ran
+	steps [checkerWindow]stepRecord
 }
 
-// Observe notes that a rank used a map in a step. It returns a Split if
-// another rank used another map in it. Steps that are forgotten pass, and so
-// does map 0, which stands for no step.
+// Observe records that a rank used a map in a step. It returns a Split if another rank
+// used another map in that step. It ignores steps that have left the window, and map 0,
+// which stands for no step.
 func (c *Checker) Observe(rank burdockid.Rank, step burdockid.Step, used burdockid.MapVersion) *Split {
 	if used == 0 {
 		return nil
@@ -48,7 +48,7 @@
 	known := &c.steps[step%checkerWindow]
 	switch {
 	case known.used == 0 || known.step < step:
-		*known = ran{step: step, rank: rank, used: used}
+		*known = stepRecord{step: step, rank: rank, used: used}
 	case known.step == step && known.used != used:
 		return &Split{Step: step, First: known.rank, FirstMap: known.used, Second: rank, SecondMap: used}
 	}
--- a/internal/group/burdockgroup/controller.go
+++ b/internal/group/burdockgroup/controller.go
@@ -6,53 +6,51 @@
 	"burdockbend.example/burdockbend/internal/state/burdockchart"
 )
 
-// ControllerConfig sets a controller's sizes and times.
+// ControllerConfig configures a controller.
 type ControllerConfig struct {
 	Ranks int
-	// Retry is the time after which an unanswered order is sent again. It is
-	// a few round trips: shorter doubles the messages on a slow link.
+	// Retry is the time after which an unanswered order is sent again. It is a few round
+	// trips: a shorter one doubles the messages on a slow link.
 	Retry burdockclock.Millis
-	// MinRetry, if set, has the time before an order is sent again follow what
-	// rounds have taken, between MinRetry and Retry; the lead of a change follows
-	// them too.
+	// MinRetry, if set, lets the time before an order is sent again follow the measured
+	// round time, between MinRetry and Retry. The lead of a change then follows it too.
 	MinRetry burdockclock.Millis
-	// LoadRetry is the time for orders to load, which may be answered when the load
-	// has ended; 0 takes that of the others.
+	// LoadRetry replaces Retry for load orders, which may be answered only when the load
+	// has ended; 0 means that they are treated as the others.
 	LoadRetry burdockclock.Millis
-	// LoadPoll is the time between two questions whether a rank has loaded a
-	// map. Loads take seconds; each question to 32 ranks costs as much as a
-	// round of the change itself.
+	// LoadPoll is the time between two queries whether a rank has loaded a map. Loads
+	// take seconds, and querying 32 ranks costs as much as a round of the change itself.
 	LoadPoll burdockclock.Millis
-	// SwitchPoll is the time between two readings of a group whose ranks have yet
-	// to reach the step of a change; 0 takes Retry.
+	// SwitchPoll is the time between two readings of a group whose ranks have committed
+	// but not all reached the switch step; 0 means Retry.
 	SwitchPoll burdockclock.Millis
-	// Poll is the time between two readings of a group at rest. Ranks that
-	// wait say so themselves, so it only has to find what nobody noticed, and
-	// its messages count against the agent's control traffic.
+	// Poll is the time between two readings of a group at rest. Waiting ranks report by
+	// themselves, so the poll only has to find what went unnoticed, and its messages
+	// count against the agent's control traffic.
 	Poll burdockclock.Millis
-	// SwitchLead is how many steps ahead of the ranks the step of a change is set.
-	// The change is free if its three rounds end before that step; each step
-	// of lead too few holds the group for a step. It doubles when it proved
-	// too small, up to MaxLead, which bounds how late a change takes hold.
+	// SwitchLead is how many steps ahead of the ranks the switch step is set, that is,
+	// the first step with the next map. A change loses no step if its three rounds end
+	// before the switch step; each missing step of lead holds the group for one step. The
+	// lead doubles when it proved too small, up to MaxSwitchLead, which bounds how late a
+	// change takes effect.
 	SwitchLead    burdockid.Step
 	MaxSwitchLead burdockid.Step
-	// MinimizeLead keeps the lead as short as it can be: it doubles only when a
-	// rank had begun the step of the change, not when ranks reach it before the
-	// rounds end, and falls again by the steps that a change had left over. It is
-	// for groups whose steps last longer than a round and whose map is late with
-	// each of them. Elsewhere a lead that is kept holds the group less often: on
-	// a network with a long tail of delays and with steps of 4.5 ms, 0.2 steps
-	// are lost for each change in place of 2.4.
+	// MinimizeLead keeps the lead as short as possible: it doubles only when a rank has
+	// begun the switch step, not when ranks reach it before the rounds end, and falls
+	// again by the steps that a change did not need. It is for groups whose steps last
+	// longer than a round, where each step of lead delays the map. Elsewhere a lead that
+	// never falls holds the group less often: on a network with a long tail of delays and
+	// with steps of 4.5 ms, a change loses 0.2 steps instead of 2.4.
 	MinimizeLead bool
-	// ArmTimeout is how long a rank may take to answer that it is armed; 0 is no
-	// bound. Beyond it the others are let go.
+	// ArmTimeout is how long a rank may take to confirm that it is armed; after that, the
+	// change is aborted at the other ranks. 0 means no limit.
 	ArmTimeout burdockclock.Millis
-	// ArmBudget is the rest of the lease that a controller must have to arm.
-	// A lease that lapses while ranks are armed holds the group until there is
-	// a next controller, which during an outage of the store can't be.
+	// ArmBudget is the remaining lease time that a controller needs to arm the ranks. A
+	// lease that expires while ranks are armed holds the group until there is a new
+	// controller, which cannot happen during an outage of the store.
 	ArmBudget burdockclock.Millis
-	// MaxArmBudget, if set, has the budget follow what rounds have taken, between
-	// ArmBudget and this.
+	// MaxArmBudget, if set, lets the budget follow the measured round time, between
+	// ArmBudget and MaxArmBudget.
 	MaxArmBudget burdockclock.Millis
 }
 
@@ -67,26 +65,26 @@
 	since   burdockclock.Millis
 	out     []ControllerOutput
 
-	lease    Lease
-	seq      uint64
-	maps     uint16 // versions given out under this lease
-	lead     burdockid.Step
-	grown    bool // the lead was doubled in this change
-	timed    bool // the step of this change was set with the lead
-	members  []member
-	goal     Goal
-	passing  bool                // some rank has yet to reach the step of the change
-	contrary bool                // the ranks contradict each other
-	changeAt burdockclock.Millis // when the next change may begin
-	nudges   nudges
-	contents map[burdockid.MapVersion][]byte
-	neededAt burdockclock.Millis
-	wanted   []byte               // content of the next map; nil if none
-	target   burdockid.MapVersion // its version, once given
-	last     []byte               // content that was wanted last and came into force
-	inForce  burdockid.MapVersion
-	checker  Checker
-	timing   timing
+	lease          Lease
+	seq            uint64
+	versionCount   uint16 // versions created under this lease
+	lead           burdockid.Step
+	leadGrown      bool // the lead was doubled in this change
+	leadApplied    bool // this controller set the switch step of the change, using the lead
+	members        []member
+	goal           Goal
+	switchPending  bool                // some rank has yet to reach the switch step
+	inconsistent   bool                // the ranks' statuses contradict each other
+	nextChangeAt   burdockclock.Millis // earliest start of the next change
+	trigger        readTrigger
+	contents       map[burdockid.MapVersion][]byte
+	mapRequestedAt burdockclock.Millis
+	wanted         []byte               // content of the next map; nil if none
+	wantedVersion  burdockid.MapVersion // version of wanted; 0 until its change starts
+	lastContent    []byte               // last wanted content that came into force
+	inForce        burdockid.MapVersion
+	checker        Checker
+	timing         timing
 }
 
 // NewController returns a controller without a lease.
@@ -102,13 +100,13 @@
 	}
 }
 
-// Handle takes one input at time now, which is the boot clock's, read right
-// before the call. It returns what is to be done.
+// Handle processes one input and returns the outputs that the caller has to carry out.
+// now is the boot clock's time, read right before the call.
 func (c *Controller) Handle(now burdockclock.Millis, in ControllerInput) []ControllerOutput {
 	c.now, c.out = now, nil
-	c.take(in)
-	// The lease is looked at on a clock that counts while the VM is suspended,
-	// before each order: a controller that wakes past its lease sends none.
+	c.handleInput(in)
+	// The lease is checked before each order on a clock that counts while the VM is
+	// suspended: a controller that resumes after its lease has expired sends none.
 	if c.machine.State() != ControllerIdle && now >= c.lease.Until {
 		c.stepDown(StepDownLapsed)
 	}
@@ -116,38 +114,39 @@
 	return c.out
 }
 
-func (c *Controller) take(in ControllerInput) {
+func (c *Controller) handleInput(in ControllerInput) {
 	switch in := in.(type) {
 	case LeaseHeld:
 		c.leaseHeld(in.Lease)
 	case LeaseLost:
 		c.stepDown(StepDownLost)
 	case ReportReceived:
-		c.takeReport(in.Report)
+		c.handleReport(in.Report)
 	case MapWanted:
-		c.want(in.Content)
+		c.setWanted(in.Content)
 	case MapFound:
 		c.contents[in.Map] = in.Content
 	case RankWaiting:
-		c.nudges.pending = true
+		c.trigger.pending = true
 	case ControllerTick:
 	}
 }
 
-// Base returns the map that the group uses, as far as the controller knows.
+// Base returns the map that the group uses, as far as the controller knows; 0 if none is
+// known.
 func (c *Controller) Base() burdockid.MapVersion { return c.goal.Base }
 
-func (c *Controller) want(content []byte) {
+func (c *Controller) setWanted(content []byte) {
 	if len(content) == 0 {
-		return // no map; an agent that keeps it could not be told from one that doesn't
+		return // an agent that keeps an empty map would look like one that keeps none
 	}
-	c.wanted, c.target = content, 0
-	c.surpriseIn(ControllerLoading, "another map is wanted")
+	c.wanted, c.wantedVersion = content, 0
+	c.readAgainIn(ControllerLoading, "another map is wanted")
 }
 
 func (c *Controller) emit(out ControllerOutput) { c.out = append(c.out, out) }
 
-// fire drives the chart and notes the event for the state dump.
+// fire fires an event of the state machine and records it for the state dump.
 func (c *Controller) fire(e controllerEvent, reason string) bool {
 	from := c.machine.State()
 	moved, err := c.machine.Fire(e)
@@ -165,15 +164,15 @@
 
 func (c *Controller) leaseHeld(lease Lease) {
 	if lease.Fence < c.lease.Fence {
-		return // the answer to an old request
+		return // a late answer to an old request
 	}
 	if lease.Fence > c.lease.Fence {
-		c.fire(controllerLeaseLost, "a new lease")
-		c.seq, c.maps, c.target = 0, 0, 0
+		c.fire(controllerLeaseLost, "a new lease was acquired")
+		c.seq, c.versionCount, c.wantedVersion = 0, 0, 0
 	}
 	c.lease = lease
 	if c.fire(controllerLeaseHeld, "") {
-		c.forget()
+		c.discardStatuses()
 	}
 }
 
@@ -183,40 +182,42 @@
 	}
 }
 
-// surprise starts to read all ranks again, because one is not as it was read.
-func (c *Controller) surprise(reason string) {
+// readAgain starts a new reading of all ranks, because one is not in the state that was
+// read.
+func (c *Controller) readAgain(reason string) {
 	if c.fire(controllerSurprise, reason) {
-		c.forget()
+		c.discardStatuses()
 	}
 }
 
-func (c *Controller) surpriseIn(phase ControllerPhase, reason string) {
+func (c *Controller) readAgainIn(phase ControllerPhase, reason string) {
 	if c.machine.State() == phase {
-		c.surprise(reason)
+		c.readAgain(reason)
 	}
 }
 
-// forget drops what was read, so that nothing is decided by it.
-func (c *Controller) forget() {
+// discardStatuses marks all statuses as out of date and drops the open orders, so that
+// nothing is decided by them.
+func (c *Controller) discardStatuses() {
 	for i := range c.members {
 		c.members[i].fresh = false
 		c.members[i].order = nil
 	}
 }
 
-// advance does what the present phase asks for, until nothing changes.
+// advance acts on the current phase until the phase no longer changes.
 func (c *Controller) advance() {
-	for c.work() {
+	for c.advanceOnce() {
 	}
 }
 
-// work reports whether the phase changed.
-func (c *Controller) work() bool {
+// advanceOnce acts on the current phase and reports whether the phase changed.
+func (c *Controller) advanceOnce() bool {
 	switch c.machine.State() {
 	case ControllerReading:
-		return c.read()
+		return c.readAll()
 	case ControllerResting:
-		return c.rest()
+		return c.checkResting()
 	case ControllerSettling:
 		return c.drive() && c.fire(controllerAllSettled, "")
 	case ControllerLoading:
--- a/internal/group/burdockgroup/dump.go
+++ b/internal/group/burdockgroup/dump.go
@@ -30,7 +30,7 @@
 		Since:       r.since,
 		Highest:     r.highest,
 		Engine:      r.status,
-		Kept:        sortedKeys(r.kept),
+		Kept:        sortedKeys(r.contents),
 		Events:      r.journal.Entries(),
 	}
 }
@@ -42,8 +42,8 @@
 	Seq    uint64               `json:"seq"`
 	Goal   Goal                 `json:"goal"`
 	Wanted burdockid.MapVersion `json:"wanted"`
-	// RoundTime and StepTime are what rounds of orders and the group's steps take, as far as
-	// they have been seen, in milliseconds; 0 if not.
+	// RoundTime and StepTime are the mean durations of a round and of a step of the
+	// group, in milliseconds; 0 until measured.
 	RoundTime burdockclock.Millis  `json:"roundMillis"`
 	StepTime  float64              `json:"stepMillis"`
 	Ranks     []MemberState        `json:"ranks"`
@@ -57,7 +57,7 @@
 	Fresh        bool                  `json:"fresh"`
 	Engine       EngineStatus          `json:"engine"`
 	Refusal      Refusal               `json:"refusal,omitempty"`
-	PendingOrder uint64                `json:"waiting"` // number of the order that is not answered yet
+	PendingOrder uint64                `json:"waiting"` // sequence number of the unanswered order; 0 for none
 }
 
 // State returns the controller's part of the state dump.
@@ -67,9 +67,9 @@
 		Lease:     c.lease,
 		Seq:       c.seq,
 		Goal:      c.goal,
-		Wanted:    c.target,
-		RoundTime: c.timing.round,
-		StepTime:  c.timing.step,
+		Wanted:    c.wantedVersion,
+		RoundTime: c.timing.roundTime,
+		StepTime:  c.timing.stepTime,
 		Events:    c.journal.Entries(),
 	}
 	for i, m := range c.members {
@@ -79,7 +79,7 @@
 			Fresh:        m.fresh,
 			Engine:       m.status,
 			Refusal:      m.refusal,
-			PendingOrder: m.waitingFor(),
+			PendingOrder: m.pendingOrder(),
 		})
 	}
 	return state
--- a/internal/group/burdockgroup/goal.go
+++ b/internal/group/burdockgroup/goal.go
@@ -4,29 +4,30 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// GoalKind is what a controller brings every rank to.
+// GoalKind is the kind of state that a controller brings every rank to.
 type GoalKind string
 
 // Kinds of goals.
 const (
-	GoalRun      GoalKind = "run"      // runs with Base; nothing armed
-	GoalLoad     GoalKind = "load"     // has Map loaded
+	GoalRun      GoalKind = "run"      // runs with Base; not armed
+	GoalLoad     GoalKind = "load"     // has loaded Map
 	GoalArm      GoalKind = "arm"      // stops before step At
-	GoalCommit   GoalKind = "commit"   // will use Map from step At on, or does already
-	GoalWithdraw GoalKind = "withdraw" // stops before step At, and won't use Map from it on
-	GoalRelease  GoalKind = "release"  // as commit, and no longer stops
+	GoalCommit   GoalKind = "commit"   // uses Map from step At on
+	GoalWithdraw GoalKind = "withdraw" // stops before step At and keeps Base
+	GoalRelease  GoalKind = "release"  // as commit, but no longer stops
 )
 
-// Goal is the state that a controller is bringing every rank to.
+// Goal is the state that a controller brings every rank to.
 type Goal struct {
 	Kind GoalKind             `json:"kind"`
-	Base burdockid.MapVersion `json:"base"` // used before step At; 0 in a group that never ran
+	Base burdockid.MapVersion `json:"base"` // map used before step At; 0 in a group that never ran
 	Map  burdockid.MapVersion `json:"map"`
 	At   burdockid.Step       `json:"at"`
 }
 
-// next returns the order that brings an engine nearer to the goal, or whether
-// it is there. Neither means to wait for a load. A Load comes without content.
+// next returns the order that brings an engine closer to the goal, or done if the engine
+// has reached it. Neither means that the engine is still loading. A returned Load has no
+// content.
 func (g Goal) next(s EngineStatus) (body OrderBody, done bool) {
 	switch g.Kind {
 	case GoalLoad:
@@ -61,8 +62,8 @@
 }
 
 func (g Goal) nextArm(s EngineStatus) (OrderBody, bool) {
-	// Loaded comes first, also for an engine that is held already: it may have
-	// been restarted beside its agent and hold without the map.
+	// The load comes first, even for an engine that is held already: the engine may have
+	// been restarted while its agent kept running, and be held without the map.
 	if body, loaded := nextLoad(s, g.Map); !loaded {
 		return body, false
 	}
@@ -72,8 +73,8 @@
 	return nil, true
 }
 
-// nextCommit also brings in an engine that was replaced: it is committed as
-// the others are, then given the base map if steps before At are left.
+// nextCommit also handles an engine that was replaced: it is committed as the others are,
+// and then gets the base map if steps before At are left.
 func (g Goal) nextCommit(s EngineStatus) (OrderBody, bool) {
 	switch {
 	case s.Base == g.Map:
@@ -89,9 +90,9 @@
 	return Commit{Map: g.Map, At: g.At}, false
 }
 
-// nextBase gives a committed engine the map for the steps before At. If every
-// engine of the group was lost, no engine knows that map any longer and none
-// has run a step since, so the next map serves at once.
+// nextBase gives a committed engine the map for the steps before At. If every engine of
+// the group was lost, none has the old map any longer and none has run a step since, so
+// the next map is used at once.
 func (g Goal) nextBase(s EngineStatus) (OrderBody, bool) {
 	if s.Base != 0 || s.Next >= g.At {
 		return nil, true
@@ -120,25 +121,24 @@
 	return Begin{Map: v}, false
 }
 
-// verdict is what a controller makes of the status of all ranks.
+// verdict is the conclusion that a controller draws from the statuses of all ranks.
 type verdict string
 
 const (
 	verdictSettled verdict = "settled" // nothing to do
-	verdictUndone  verdict = "undone"  // no rank has committed: go back
-	verdictDecided verdict = "decided" // some rank has committed: go forward
-	verdictSplit   verdict = "split"   // no order can bring the ranks together
+	verdictUndone  verdict = "undone"  // no rank has committed: roll back
+	verdictDecided verdict = "decided" // some rank has committed: complete the change
+	verdictSplit   verdict = "split"   // the statuses contradict each other; no order can reconcile them
 )
 
-// judge decides whether an interrupted change goes forward or back. It is made
-// for a controller that takes over from one that died anywhere in a change.
-// Release is sent only after every rank has committed, so if no rank has,
-// none has run step At with the new map: back is safe, since the reading has
-// voided every commit still on its way. If one rank has committed, none was
-// sent an abort: forward is safe.
+// judge decides whether an interrupted change is completed or rolled back. It serves a
+// controller whose predecessor may have died at any point of a change. Release is sent
+// only after every rank has committed. So if no rank has committed, none has run step At
+// with the new map, and rolling back is safe: the reading has voided every commit still
+// in flight. If one rank has committed, none was sent an abort, and completing is safe.
 //
-// A rank that was replaced is empty and cannot tell. It is enough to ask the
-// others: if it ran step At with the new map, all of them had committed.
+// A replaced rank is empty and has lost its state. The other ranks are enough: if the
+// replaced one ran step At with the new map, all of them had committed.
 func judge(statuses []EngineStatus) (Goal, verdict) {
 	goal := Goal{Kind: GoalRun}
 	for _, s := range statuses {
--- a/internal/group/burdockgroup/rank.go
+++ b/internal/group/burdockgroup/rank.go
@@ -9,70 +9,71 @@
 	"burdockbend.example/burdockbend/internal/state/burdockchart"
 )
 
-// RankConfig says which rank a Rank speaks for.
+// RankConfig configures a Rank.
 type RankConfig struct {
 	Rank        burdockid.Rank
 	Ranks       int // in the group
 	Incarnation burdockid.Incarnation
-	// Retry is the time after which an unanswered question is asked again.
+	// Retry is the time after which an unanswered request is sent again.
 	Retry burdockclock.Millis
-	// NotifyDelay is how long a rank is held or empty before it says so. Too
-	// short costs a message for each change; too long adds to the time for
-	// which a group stands still after its controller has died.
+	// NotifyDelay is how long a rank is held or empty before it notifies the controller.
+	// Too short a delay costs a message for each change; too long a delay lengthens the
+	// time for which a group is stalled after its controller has died.
 	NotifyDelay burdockclock.Millis
 }
 
 // rankEvents is the number of past events that the state dump shows.
 const rankEvents = 16
 
-// Rank carries out a controller's orders on one engine. It is the engine's
-// only door, so its checks also protect engines that check nothing.
+// Rank carries out a controller's orders on one engine. All orders to the engine pass
+// through it, so its checks also protect engines that check nothing.
 type Rank struct {
 	cfg     RankConfig
 	machine burdockchart.Machine[RankPhase, rankEvent]
 	journal *burdockchart.Journal
 	now     burdockclock.Millis
-	since   burdockclock.Millis // when the present state was entered
+	since   burdockclock.Millis // when the current phase was entered
 	out     []RankOutput
 
-	highest Number
-	peers   map[burdockid.Rank]FenceAnswered // answers while learning
-	status  EngineStatus
-	kept    map[burdockid.MapVersion][]byte
+	highest      Number
+	fenceAnswers map[burdockid.Rank]FenceAnswered // peers' answers while learning; nil afterwards
+	status       EngineStatus
+	contents     map[burdockid.MapVersion][]byte
 
-	settled RankPhase // last phase that the engine's status gave
-	sayGap  burdockclock.Millis
-	sayAt   burdockclock.Millis // when to say that the rank still waits
+	lastPhase      RankPhase // last phase that followed from an engine status
+	notifyInterval burdockclock.Millis
+	notifyAt       burdockclock.Millis // when to notify the controller that the rank still waits
 
-	ticket  uint64
-	askedAt burdockclock.Millis
-	answer  *Order // the order to report on when the engine has answered
+	ticket        uint64
+	engineAskedAt burdockclock.Millis
+	unreported    *Order // order to report on when the engine has answered
 }
 
 // NewRank returns a rank whose agent has just started.
 func NewRank(cfg RankConfig) *Rank {
 	return &Rank{
-		cfg:     cfg,
-		machine: rankChart.Start(),
-		journal: burdockchart.NewJournal(rankEvents),
-		peers:   map[burdockid.Rank]FenceAnswered{},
-		kept:    map[burdockid.MapVersion][]byte{},
+		cfg:          cfg,
+		machine:      rankChart.Start(),
+		journal:      burdockchart.NewJournal(rankEvents),
+		fenceAnswers: map[burdockid.Rank]FenceAnswered{},
+		contents:     map[burdockid.MapVersion][]byte{},
 	}
 }
 
-// Handle takes one input at time now and returns what is to be done.
+// Handle processes one input at time now and returns the outputs that the caller has to
+// carry out.
 func (r *Rank) Handle(now burdockclock.Millis, in RankInput) []RankOutput {
 	r.now, r.out = now, nil
 	switch in := in.(type) {
 	case OrderReceived:
-		r.takeOrder(in.Order)
+		r.handleOrder(in.Order)
 	case FenceFromStore:
-		r.learn(in.Fence, "from the store")
+		r.learnFence(in.Fence, "from the store")
 	case FenceAsked:
 		known := r.machine.State() != RankLearning
 		r.emit(AnswerFence{To: in.From, Fence: r.highest.Fence, Known: known})
 	case FenceAnswered:
-		r.hearPeer(in)
+		r.handleFenceAnswer(in)
 	case EngineAnswered:
 		r.engineAnswered(in)
 	case EngineLost:
@@ -87,7 +88,7 @@
 
 func (r *Rank) emit(out RankOutput) { r.out = append(r.out, out) }
 
-// fire drives the chart and notes the event for the state dump.
+// fire fires an event of the state machine and records it for the state dump.
 func (r *Rank) fire(e rankEvent, reason string) error {
 	from := r.machine.State()
 	moved, err := r.machine.Fire(e)
@@ -103,11 +104,11 @@
 	return err
 }
 
-// learn takes the highest fencing number. An agent that has just started has
-// forgotten what its predecessor saw. If it took orders at once, one from a
-// controller that lost its lease long ago would pass, and two controllers
-// would command one group.
-func (r *Rank) learn(fence burdockid.Fence, reason string) {
+// learnFence raises the highest fencing number that the rank knows. An agent that has
+// just started has lost what its predecessor saw. If it accepted orders at once, one from
+// a controller that lost its lease long ago would pass, and two controllers would command
+// one group.
+func (r *Rank) learnFence(fence burdockid.Fence, reason string) {
 	if fence > r.highest.Fence {
 		r.highest = Number{Fence: fence}
 	}
@@ -115,46 +116,46 @@
 		return
 	}
 	if r.fire(rankFenceLearned, reason) == nil {
-		r.peers = nil
-		r.askEngine(ReadStatus{})
+		r.fenceAnswers = nil
+		r.sendToEngine(ReadStatus{})
 	}
 }
 
-// hearPeer learns from the peers while the store is out. A controller acts only
-// after it has read all ranks, so each peer that has kept its memory knows the
-// number of every controller that has acted. All peers are heard, so that one
-// that was out of reach of the newest controller doesn't decide alone; and one
-// at least must know, else only the store can tell.
-func (r *Rank) hearPeer(told FenceAnswered) {
-	stranger := told.From < 0 || int(told.From) >= r.cfg.Ranks || told.From == r.cfg.Rank
-	if stranger || r.machine.State() != RankLearning {
+// handleFenceAnswer learns the fencing number from the peers while the store is
+// unavailable. A controller acts only after it has read all ranks, so each peer that has
+// not been restarted knows the number of every controller that has acted. The rank waits
+// for all peers, because a peer that the newest controller could not reach knows only an
+// older number. If no peer knows a number, only the store can provide it.
+func (r *Rank) handleFenceAnswer(answer FenceAnswered) {
+	invalidPeer := answer.From < 0 || int(answer.From) >= r.cfg.Ranks || answer.From == r.cfg.Rank
+	if invalidPeer || r.machine.State() != RankLearning {
 		return
 	}
-	r.peers[told.From] = told
-	if len(r.peers) < r.cfg.Ranks-1 {
+	r.fenceAnswers[answer.From] = answer
+	if len(r.fenceAnswers) < r.cfg.Ranks-1 {
 		return
 	}
 	var highest burdockid.Fence
 	known := false
-	for _, p := range r.peers {
+	for _, p := range r.fenceAnswers {
 		known = known || p.Known
 		highest = max(highest, p.Fence)
 	}
 	if known {
-		r.learn(highest, "from the peers")
+		r.learnFence(highest, "from the peers")
 	}
 }
 
-func (r *Rank) takeOrder(o Order) {
-	if reason := r.admit(o); reason != RefusalNone {
+func (r *Rank) handleOrder(o Order) {
+	if reason := r.checkOrder(o); reason != RefusalNone {
 		r.refuse(o, reason)
 		return
 	}
 	body := o.Body
 	if o.Number == r.highest {
-		// A repeat: the order was carried out, its report was lost. Carried
-		// out again, an arm repeated after an abort would hold the group.
-		body = Read{Want: wanted(body)}
+		// The order was carried out and its report was lost. Carried out again, an arm
+		// repeated after an abort would hold the group.
+		body = Read{Want: wantedMap(body)}
 	}
 	r.highest = o.Number
 	event, engineOrder, refusal := r.translate(body)
@@ -165,14 +166,14 @@
 		r.refuse(o, refusal)
 		return
 	}
-	r.answer = &o
-	r.askEngine(engineOrder)
+	r.unreported = &o
+	r.sendToEngine(engineOrder)
 }
 
-// admit checks an order before anything else. The fencing number voids the
-// orders of a controller that was paused past its lease and woke, which the
-// engine itself may not check.
-func (r *Rank) admit(o Order) Refusal {
+// checkOrder checks an order before anything else. The fencing number voids the orders of
+// a controller that was paused past the end of its lease, which the engine itself may not
+// check.
+func (r *Rank) checkOrder(o Order) Refusal {
 	_, isRead := o.Body.(Read)
 	switch {
 	case o.To != r.cfg.Rank:
@@ -189,67 +190,67 @@
 	return RefusalNone
 }
 
-func wanted(body OrderBody) burdockid.MapVersion {
+func wantedMap(body OrderBody) burdockid.MapVersion {
 	if read, ok := body.(Read); ok {
 		return read.Want
 	}
 	return 0
 }
 
-// translate turns an order into an event of the chart and an engine order.
+// translate converts an order to a state machine event and an engine order.
 func (r *Rank) translate(body OrderBody) (rankEvent, EngineOrder, Refusal) {
 	switch body := body.(type) {
 	case Load:
-		return rankLoad, LoadMap(body), r.keep(body)
+		return rankLoad, LoadMap(body), r.storeContent(body)
 	case Arm:
-		return rankArm, HoldAt{Step: body.At}, r.needLoaded(body.Map)
+		return rankArm, HoldAt{Step: body.At}, r.requireLoaded(body.Map)
 	case Commit:
-		return rankCommit, UseFrom{Map: body.Map, Step: body.At}, firstRefusal(r.needLoaded(body.Map), r.needHold(body.At))
+		return rankCommit, UseFrom{Map: body.Map, Step: body.At}, firstRefusal(r.requireLoaded(body.Map), r.requireHeld(body.At))
 	case Release:
-		return rankRelease, Resume{Step: body.At, Switch: r.status.Switch}, r.needHold(body.At)
+		return rankRelease, Resume{Step: body.At, Switch: r.status.Switch}, r.requireHeld(body.At)
 	case Abort:
 		return rankAbort, Resume{Step: r.status.HoldAt}, RefusalNone
 	case Withdraw:
-		return rankWithdraw, DropSwitch{Step: body.At, Switch: r.status.Switch}, r.needHold(body.At)
+		return rankWithdraw, DropSwitch{Step: body.At, Switch: r.status.Switch}, r.requireHeld(body.At)
 	case Begin:
-		return rankBegin, BeginWith(body), r.needEmpty(body.Map)
+		return rankBegin, BeginWith(body), r.requireEmpty(body.Map)
 	default:
 		return rankRead, ReadStatus{}, RefusalNone
 	}
 }
 
-// keep stores a map's content, so that a later controller can load it on a
-// rank that was replaced.
-func (r *Rank) keep(l Load) Refusal {
+// storeContent keeps a map's content, so that a later controller can load it on a rank
+// that was replaced.
+func (r *Rank) storeContent(l Load) Refusal {
 	if l.Map == 0 || len(l.Content) == 0 {
 		return RefusalNoMap
 	}
-	if old, ok := r.kept[l.Map]; ok && !bytes.Equal(old, l.Content) {
+	if old, ok := r.contents[l.Map]; ok && !bytes.Equal(old, l.Content) {
 		return RefusalMapDiffers
 	}
-	r.kept[l.Map] = l.Content
+	r.contents[l.Map] = l.Content
 	return RefusalNone
 }
 
-func (r *Rank) needLoaded(v burdockid.MapVersion) Refusal {
+func (r *Rank) requireLoaded(v burdockid.MapVersion) Refusal {
 	if !r.status.has(v) {
 		return RefusalNotLoaded
 	}
 	return RefusalNone
 }
 
-func (r *Rank) needHold(at burdockid.Step) Refusal {
+func (r *Rank) requireHeld(at burdockid.Step) Refusal {
 	if !r.status.heldAt(at) {
 		return RefusalNotArmed
 	}
 	return RefusalNone
 }
 
-func (r *Rank) needEmpty(v burdockid.MapVersion) Refusal {
+func (r *Rank) requireEmpty(v burdockid.MapVersion) Refusal {
 	if r.status.Base != 0 {
 		return RefusalNotEmpty
 	}
-	return r.needLoaded(v)
+	return r.requireLoaded(v)
 }
 
 func firstRefusal(refusals ...Refusal) Refusal {
@@ -271,39 +272,39 @@
 	}})
 }
 
-func (r *Rank) askEngine(order EngineOrder) {
+func (r *Rank) sendToEngine(order EngineOrder) {
 	r.ticket++
-	r.askedAt = r.now
+	r.engineAskedAt = r.now
 	r.emit(OrderEngine{Ticket: r.ticket, Fence: r.highest.Fence, Order: order})
 }
 
 func (r *Rank) engineAnswered(in EngineAnswered) {
 	if in.Ticket != r.ticket || in.Failed || r.machine.State() != RankOrdering {
-		// After a failure the next tick reads the status: only the engine
-		// knows whether it has taken the order.
+		// After a failure the next tick reads the status, because only the engine knows
+		// whether it has accepted the order.
 		return
 	}
 	r.status = in.Status
-	r.dropUnused()
-	if r.fire(seen(in.Status), "") != nil {
+	r.dropUnusedContents()
+	if r.fire(eventOf(in.Status), "") != nil {
 		return
 	}
-	r.noteSettled()
-	if r.answer != nil {
-		r.report(*r.answer)
-		r.answer = nil
+	r.restartNotifyTimer()
+	if r.unreported != nil {
+		r.report(*r.unreported)
+		r.unreported = nil
 	}
 }
 
-func (r *Rank) noteSettled() {
-	if phase := r.machine.State(); phase != r.settled {
-		r.settled = phase
-		r.sayGap = r.cfg.NotifyDelay
-		r.sayAt = r.now + r.sayGap
+func (r *Rank) restartNotifyTimer() {
+	if phase := r.machine.State(); phase != r.lastPhase {
+		r.lastPhase = phase
+		r.notifyInterval = r.cfg.NotifyDelay
+		r.notifyAt = r.now + r.notifyInterval
 	}
 }
 
-func seen(s EngineStatus) rankEvent {
+func eventOf(s EngineStatus) rankEvent {
 	switch {
 	case s.Held && s.Switch.Map != 0:
 		return rankSeenCommitted
@@ -316,11 +317,11 @@
 	}
 }
 
-// dropUnused forgets the content of maps that the engine no longer has.
-func (r *Rank) dropUnused() {
-	for v := range r.kept {
+// dropUnusedContents drops the content of maps that the engine no longer has.
+func (r *Rank) dropUnusedContents() {
+	for v := range r.contents {
 		if !r.status.has(v) && r.status.Loading != v {
-			delete(r.kept, v)
+			delete(r.contents, v)
 		}
 	}
 }
@@ -332,25 +333,25 @@
 		Incarnation:  r.cfg.Incarnation,
 		HighestFence: r.highest.Fence,
 		Status:       r.status,
-		Kept:         sortedKeys(r.kept),
+		Kept:         sortedKeys(r.contents),
 	}
-	if v := wanted(o.Body); v != 0 {
-		report.Content = r.kept[v]
+	if v := wantedMap(o.Body); v != 0 {
+		report.Content = r.contents[v]
 	}
 	r.emit(SendReport{Report: report})
 }
 
 func (r *Rank) engineLost() {
 	if r.fire(rankEngineLost, "") == nil && r.machine.State() == RankOrdering {
-		r.askEngine(ReadStatus{})
+		r.sendToEngine(ReadStatus{})
 	}
 }
 
-// stepFinished asserts that the engine used the map that it was ordered to.
+// stepFinished checks that the engine used the map that it was ordered to use.
 func (r *Rank) stepFinished(in StepFinished) {
 	want := r.status.mapAt(in.Step)
-	settled := r.machine.State() != RankLearning && r.machine.State() != RankOrdering
-	if settled && want != 0 && in.Step >= r.status.Next && in.Map != want {
+	statusKnown := r.machine.State() != RankLearning && r.machine.State() != RankOrdering
+	if statusKnown && want != 0 && in.Step >= r.status.Next && in.Map != want {
 		r.emit(MapMismatch{Step: in.Step, Got: in.Map, Want: want})
 	}
 	r.status.LastStep, r.status.LastMap = in.Step, in.Map
@@ -359,31 +360,31 @@
 func (r *Rank) tick() {
 	switch r.machine.State() {
 	case RankLearning:
-		r.askFence()
+		r.requestFence()
 	case RankOrdering:
-		if r.now-r.askedAt >= r.cfg.Retry {
-			r.askEngine(ReadStatus{})
+		if r.now-r.engineAskedAt >= r.cfg.Retry {
+			r.sendToEngine(ReadStatus{})
 		}
 	case RankEmpty, RankArmed, RankCommitted:
-		r.sayWaiting()
+		r.notifyWaiting()
 	}
 }
 
-// mostPatience is the factor up to which the gap between two NotifyWaiting grows.
-// A group that no one can help, for want of a map, say, must not fill the
-// network with calls for help.
-const mostPatience = 16
+// maxNotifyFactor limits how far the interval between two NotifyWaiting grows, as a
+// multiple of NotifyDelay. A group that cannot be helped, for example for lack of a map,
+// must not flood the network with notifications.
+const maxNotifyFactor = 16
 
-func (r *Rank) sayWaiting() {
-	if r.now < r.sayAt {
+func (r *Rank) notifyWaiting() {
+	if r.now < r.notifyAt {
 		return
 	}
-	r.sayGap = min(2*r.sayGap, mostPatience*r.cfg.NotifyDelay)
-	r.sayAt = r.now + r.sayGap
+	r.notifyInterval = min(2*r.notifyInterval, maxNotifyFactor*r.cfg.NotifyDelay)
+	r.notifyAt = r.now + r.notifyInterval
 	r.emit(NotifyWaiting{From: r.cfg.Rank})
 }
 
-func (r *Rank) askFence() {
+func (r *Rank) requestFence() {
 	r.emit(ReadFence{})
 	for peer := range burdockid.Rank(r.cfg.Ranks) {
 		if peer != r.cfg.Rank {
--- a/internal/group/burdockgroup/rankio.go
+++ b/internal/group/burdockgroup/rankio.go
@@ -2,7 +2,7 @@
 
 import "burdockbend.example/burdockbend/internal/base/burdockid"
 
-// RankInput is something that happens to a Rank.
+// RankInput is an event for Rank.Handle.
 type RankInput interface{ rankInput() }
 
 // OrderReceived is an order from a controller.
@@ -11,34 +11,35 @@
 // FenceFromStore is the fencing number that the group's lease has in the store.
 type FenceFromStore struct{ Fence burdockid.Fence }
 
-// FenceAsked is a peer's question for the highest fencing number.
+// FenceAsked is a peer's request for the highest fencing number.
 type FenceAsked struct{ From burdockid.Rank }
 
-// FenceAnswered is a peer's answer. Known is false if the peer itself is learning.
+// FenceAnswered is a peer's answer to AskFence. Known is false if the peer itself is
+// still learning the number.
 type FenceAnswered struct {
 	From  burdockid.Rank
 	Fence burdockid.Fence
 	Known bool
 }
 
-// EngineAnswered is the engine's answer to an OrderEngine with the same
-// ticket. Failed is true if there was none, or an error; Status is unset then.
+// EngineAnswered is the engine's answer to the OrderEngine with the same ticket. Failed
+// is true if there was no answer or an error; Status is unset then.
 type EngineAnswered struct {
 	Ticket uint64
 	Status EngineStatus
 	Failed bool
 }
 
-// EngineLost says that the engine was restarted or its connection broke.
+// EngineLost reports that the engine was restarted or its connection broke.
 type EngineLost struct{}
 
-// StepFinished says that the engine ran a step, and with which map.
+// StepFinished reports that the engine ran a step with a map.
 type StepFinished struct {
 	Step burdockid.Step
 	Map  burdockid.MapVersion
 }
 
-// RankTick lets the rank look at the time. It is due every RankConfig.Retry.
+// RankTick lets the rank check its timeouts. It is due every RankConfig.Retry.
 type RankTick struct{}
 
 func (OrderReceived) rankInput()  {}
@@ -50,38 +51,38 @@
 func (StepFinished) rankInput()   {}
 func (RankTick) rankInput()       {}
 
-// RankOutput is something that a Rank wants done.
+// RankOutput is an action that Rank.Handle asks its caller to carry out.
 type RankOutput interface{ rankOutput() }
 
 // SendReport answers an order.
 type SendReport struct{ Report Report }
 
-// ReadFence asks for a FenceFromStore.
+// ReadFence requests a FenceFromStore.
 type ReadFence struct{}
 
-// AskFence asks a peer, which takes it as FenceAsked.
+// AskFence requests a peer's highest fencing number; the peer receives it as FenceAsked.
 type AskFence struct{ To burdockid.Rank }
 
-// AnswerFence answers a peer, which takes it as FenceAnswered.
+// AnswerFence answers a peer, which receives it as FenceAnswered.
 type AnswerFence struct {
 	To    burdockid.Rank
 	Fence burdockid.Fence
 	Known bool
 }
 
-// OrderEngine is an order to the engine. Fence is for engines that check it.
+// OrderEngine sends an order to the engine. Fence is for engines that check fencing
+// numbers.
 type OrderEngine struct {
 	Ticket uint64
 	Fence  burdockid.Fence
 	Order  EngineOrder
 }
 
-// NotifyWaiting tells the group's controller, whoever it is, that the rank is
-// held or empty and so holds back its group. The controller takes it as
-// RankWaiting.
+// NotifyWaiting notifies the group's current controller that the rank is held or empty
+// and therefore stalls its group. The controller receives it as RankWaiting.
 type NotifyWaiting struct{ From burdockid.Rank }
 
-// MapMismatch says that the engine ran a step with another map than ordered.
+// MapMismatch reports that the engine ran a step with another map than ordered.
 type MapMismatch struct {
 	Step burdockid.Step
 	Got  burdockid.MapVersion
--- a/internal/group/burdockgroup/reading.go
+++ b/internal/group/burdockgroup/reading.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-func (c *Controller) takeReport(report Report) {
+func (c *Controller) handleReport(report Report) {
 	if report.From < 0 || int(report.From) >= len(c.members) || c.machine.State() == ControllerIdle {
 		return
 	}
@@ -15,7 +15,7 @@
 	}
 	m := &c.members[report.From]
 	if m.order == nil || report.Number != m.order.Number {
-		return // late, or repeated: what it says may no longer be so
+		return // late or repeated: its status may be out of date
 	}
 	m.refusal = report.Refusal
 	switch report.Refusal {
@@ -24,7 +24,7 @@
 	case RefusalLearning, RefusalBusy:
 		// The same order is sent again when its retry is due.
 	default:
-		c.surprise("rank refused: " + string(report.Refusal))
+		c.readAgain("a rank refused an order: " + string(report.Refusal))
 	}
 }
 
@@ -32,42 +32,42 @@
 	if read, ok := m.order.Body.(Read); ok && read.Want != 0 && report.Content != nil {
 		c.contents[read.Want] = report.Content
 	}
-	c.noteTiming(m, report.Status)
+	c.recordTiming(m, report.Status)
 	m.order = nil
 	m.fresh = true
 	m.answeredAt = c.now
 	m.incarnation = report.Incarnation
 	m.status = report.Status
 	m.kept = report.Kept
-	c.noteLead(report.Status)
+	c.growLeadIfLate(report.Status)
 	if split := c.checker.Observe(report.From, report.Status.LastStep, report.Status.LastMap); split != nil {
 		c.emit(SplitDetected{Split: split})
 	}
 }
 
-func (c *Controller) read() bool {
+func (c *Controller) readAll() bool {
 	all := true
 	for i := range c.members {
 		if !c.members[i].fresh {
 			all = false
-			c.ask(i, Read{})
+			c.sendOrder(i, Read{})
 		}
 	}
 	if !all {
 		return false
 	}
-	c.timing.ended()
+	c.timing.endRound()
 	return c.decide()
 }
 
-// noteTiming takes in how long a rank took to answer and which step is next. A
-// load says nothing of the way, nor does an order of which it isn't known which
-// sending was answered.
-func (c *Controller) noteTiming(m *member, s EngineStatus) {
-	if _, isLoad := m.order.Body.(Load); !isLoad && !m.again {
-		c.timing.answered(c.now - m.sentAt)
-	}
-	c.timing.stepSeen(c.now, s.Next)
+// recordTiming records how long a rank took to answer and which step is next. The answer
+// time of a load says nothing about the network, and that of an order which was sent
+// again is ambiguous.
+func (c *Controller) recordTiming(m *member, s EngineStatus) {
+	if _, isLoad := m.order.Body.(Load); !isLoad && !m.resent {
+		c.timing.recordAnswer(c.now - m.sentAt)
+	}
+	c.timing.recordStep(c.now, s.Next)
 }
 
 func (c *Controller) statuses() []EngineStatus {
@@ -79,17 +79,17 @@
 }
 
 func (c *Controller) decide() bool {
-	c.timed = false
+	c.leadApplied = false
 	goal, found := judge(c.statuses())
 	c.goal = goal
-	c.passing = goal.Map != 0
-	c.contrary = found == verdictSplit
-	c.nudges.found(found == verdictUndone || found == verdictDecided, c.cfg)
-	c.noteInForce()
+	c.switchPending = goal.Map != 0
+	c.inconsistent = found == verdictSplit
+	c.trigger.found(found == verdictUndone || found == verdictDecided, c.cfg)
+	c.updateInForce()
 	switch found {
 	case verdictSplit:
 		c.emit(SplitDetected{})
-		return c.fire(controllerFoundSettled, "ranks contradict each other; no order is safe")
+		return c.fire(controllerFoundSettled, "the ranks' statuses contradict each other; no order is safe")
 	case verdictDecided:
 		return c.fire(controllerFoundDecided, "some rank has committed")
 	case verdictUndone:
@@ -101,15 +101,15 @@
 	return c.fire(controllerFoundSettled, "")
 }
 
-// noteInForce sees the end of a change.
-func (c *Controller) noteInForce() {
-	c.dropContents()
-	if c.passing || c.contrary || c.goal.Base == 0 {
+// updateInForce detects that a change is complete.
+func (c *Controller) updateInForce() {
+	c.dropUnusedContents()
+	if c.switchPending || c.inconsistent || c.goal.Base == 0 {
 		return
 	}
-	if c.wanted != nil && (c.goal.Base == c.target || bytes.Equal(c.contents[c.goal.Base], c.wanted)) {
-		c.last = c.wanted
-		c.wanted, c.target = nil, 0
+	if c.wanted != nil && (c.goal.Base == c.wantedVersion || bytes.Equal(c.contents[c.goal.Base], c.wanted)) {
+		c.lastContent = c.wanted
+		c.wanted, c.wantedVersion = nil, 0
 	}
 	if c.inForce != c.goal.Base {
 		c.inForce = c.goal.Base
@@ -117,26 +117,26 @@
 	}
 }
 
-func (c *Controller) dropContents() {
+func (c *Controller) dropUnusedContents() {
 	for v := range c.contents {
-		if v != c.goal.Base && v != c.goal.Map && v != c.target {
+		if v != c.goal.Base && v != c.goal.Map && v != c.wantedVersion {
 			delete(c.contents, v)
 		}
 	}
 }
 
-// contentMissing reports whether an agent lacks the content of the map in use
-// while another has it. Agents are replaced one by one in a rolling update; if
-// none were given the content again, the last replacement would lose it.
+// contentMissing reports whether an agent lacks the content of the map in use while
+// another has it. A rolling update replaces agents one by one; if none got the content
+// again, the last replacement would lose it.
 func (c *Controller) contentMissing() bool {
 	if c.goal.Base == 0 {
 		return false
 	}
-	keepers := 0
+	holders := 0
 	for _, m := range c.members {
 		if slices.Contains(m.kept, c.goal.Base) {
-			keepers++
+			holders++
 		}
 	}
-	return keepers > 0 && keepers < len(c.members)
+	return holders > 0 && holders < len(c.members)
 }
--- a/internal/group/burdockgroup/sending.go
+++ b/internal/group/burdockgroup/sending.go
@@ -10,71 +10,73 @@
 // member is what the controller knows of one rank.
 type member struct {
 	incarnation burdockid.Incarnation
-	fresh       bool // heard of in this reading or later
+	fresh       bool // reported in this reading or later
 	status      EngineStatus
 	kept        []burdockid.MapVersion
 	refusal     Refusal
-	order       *Order // sent and not answered
-	again       bool   // it was sent more than once
+	order       *Order // sent but not answered
+	resent      bool   // order was sent more than once
 	sentAt      burdockclock.Millis
 	answeredAt  burdockclock.Millis
 }
 
-func (m *member) waitingFor() uint64 {
+func (m *member) pendingOrder() uint64 {
 	if m.order == nil {
 		return 0
 	}
 	return m.order.Number.Seq
 }
 
-// drive brings every rank nearer to the goal and reports whether all are there.
+// drive sends each rank the next order towards the goal and reports whether all ranks
+// have reached it.
 func (c *Controller) drive() bool {
 	all := true
 	for i := range c.members {
-		if !c.driveOne(i) {
+		if !c.driveRank(i) {
 			all = false
 		}
 	}
 	if all {
-		c.timing.ended()
+		c.timing.endRound()
 	}
 	return all
 }
 
-func (c *Controller) driveOne(i int) bool {
+func (c *Controller) driveRank(i int) bool {
 	m := &c.members[i]
 	if m.order != nil {
-		c.ask(i, m.order.Body)
+		c.sendOrder(i, m.order.Body)
 		return false
 	}
 	body, done := c.goal.next(m.status)
 	if done && c.goal.Kind == GoalRun && c.goal.Base != 0 && !slices.Contains(m.kept, c.goal.Base) {
-		return c.refill(i)
+		return c.reloadContent(i)
 	}
 	if done {
 		return true
 	}
 	switch body := body.(type) {
 	case nil:
-		c.askLater(i, Read{})
+		c.sendWhenPollDue(i, Read{})
 	case Load:
-		c.askLoad(i, body.Map)
+		c.sendLoad(i, body.Map)
 	default:
-		c.ask(i, body)
+		c.sendOrder(i, body)
 	}
 	return false
 }
 
-// refill gives an agent the content of the map in use, if anyone has it.
-func (c *Controller) refill(i int) bool {
-	if c.contents[c.goal.Base] == nil && c.keeper(c.goal.Base) < 0 {
+// reloadContent gives an agent the content of the map in use, if any agent or the
+// controller has it.
+func (c *Controller) reloadContent(i int) bool {
+	if c.contents[c.goal.Base] == nil && c.contentHolder(c.goal.Base) < 0 {
 		return true
 	}
-	c.askLoad(i, c.goal.Base)
+	c.sendLoad(i, c.goal.Base)
 	return false
 }
 
-func (c *Controller) askLoad(i int, v burdockid.MapVersion) {
+func (c *Controller) sendLoad(i int, v burdockid.MapVersion) {
 	content, ok := c.contents[v]
 	if !ok {
 		c.fetch(v)
@@ -82,47 +84,49 @@
 	}
 	load := Load{Map: v, Content: content}
 	if c.members[i].status.Failed == v {
-		c.askLater(i, load)
+		c.sendWhenPollDue(i, load)
 		return
 	}
-	c.ask(i, load)
+	c.sendOrder(i, load)
 }
 
-func (c *Controller) keeper(v burdockid.MapVersion) int {
+func (c *Controller) contentHolder(v burdockid.MapVersion) int {
 	return slices.IndexFunc(c.members, func(m member) bool { return slices.Contains(m.kept, v) })
 }
 
-// fetch gets the content of a map from an agent that has kept it.
+// fetch reads the content of a map from an agent that has kept it, or requests the map
+// from outside the group.
 func (c *Controller) fetch(v burdockid.MapVersion) {
-	if i := c.keeper(v); i >= 0 {
-		c.ask(i, Read{Want: v})
+	if i := c.contentHolder(v); i >= 0 {
+		c.sendOrder(i, Read{Want: v})
 		return
 	}
-	c.need(v)
+	c.requestMap(v)
 }
 
-func (c *Controller) need(v burdockid.MapVersion) {
-	if c.neededAt == 0 || c.now-c.neededAt >= c.cfg.Retry {
-		c.neededAt = c.now
+func (c *Controller) requestMap(v burdockid.MapVersion) {
+	if c.mapRequestedAt == 0 || c.now-c.mapRequestedAt >= c.cfg.Retry {
+		c.mapRequestedAt = c.now
 		c.emit(NeedMap{Map: v})
 	}
 }
 
-// askLater asks a rank that loads, when it is due.
-func (c *Controller) askLater(i int, body OrderBody) {
+// sendWhenPollDue sends an order to a rank that is loading a map, at most once per
+// LoadPoll.
+func (c *Controller) sendWhenPollDue(i int, body OrderBody) {
 	if c.now-c.members[i].answeredAt >= c.cfg.LoadPoll {
-		c.ask(i, body)
+		c.sendOrder(i, body)
 	}
 }
 
-// ask sends an order, or sends the unanswered one again when that is due. A
-// rank has one order at a time, so that its answer is never of two minds.
-func (c *Controller) ask(i int, body OrderBody) {
+// sendOrder sends an order, or sends the unanswered one again when that is due. A rank
+// has one open order at a time; otherwise its answer could be ambiguous.
+func (c *Controller) sendOrder(i int, body OrderBody) {
 	m := &c.members[i]
 	if m.order != nil {
-		if c.now-m.sentAt >= c.retry(m.order.Body) {
-			m.again = true
-			c.send(m)
+		if c.now-m.sentAt >= c.retryInterval(m.order.Body) {
+			m.resent = true
+			c.emitOrder(m)
 		}
 		return
 	}
@@ -131,11 +135,11 @@
 	if _, isRead := body.(Read); !isRead {
 		order.Incarnation = m.incarnation
 	}
-	m.order, m.again = &order, false
-	c.send(m)
+	m.order, m.resent = &order, false
+	c.emitOrder(m)
 }
 
-func (c *Controller) send(m *member) {
+func (c *Controller) emitOrder(m *member) {
 	m.sentAt = c.now
-	c.emit(SendOrder{Order: *m.order, NotAfter: c.lease.Until, Resend: m.again})
+	c.emit(SendOrder{Order: *m.order, NotAfter: c.lease.Until, Resend: m.resent})
 }
--- a/internal/group/burdockgroup/timing.go
+++ b/internal/group/burdockgroup/timing.go
@@ -7,135 +7,135 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// timing is what a controller has seen of how long its rounds of orders and the
-// group's steps take.
+// timing holds the measured durations of a controller's rounds and of the group's steps.
 //
-// Load: groups of a few ranks and of hundreds, on links of any width, whose steps
-// grow long when their map doesn't fit. Harm prevented: times that are right for
-// one size put off each change of a larger group, or send its orders twice.
+// Groups have a few ranks or hundreds, on links of any bandwidth, and their steps grow
+// long when the map does not fit the load. Timeouts that suit one size would delay each
+// change of a larger group or send its orders twice.
 type timing struct {
-	round   burdockclock.Millis // from the orders of a round to its last answer
-	slowest burdockclock.Millis // answer in the present round
-	step    float64             // milliseconds
-	seen    burdockid.Step      // the latest step known to be next
-	seenAt  burdockclock.Millis
+	roundTime  burdockclock.Millis // mean time from the first order of a round to its last answer
+	slowest    burdockclock.Millis // longest answer time in the current round
+	stepTime   float64             // mean, in milliseconds
+	lastNext   burdockid.Step      // Next of the status at which the current measurement began
+	lastNextAt burdockclock.Millis
 }
 
-// answered notes how long an order took that was sent once.
-func (t *timing) answered(took burdockclock.Millis) { t.slowest = max(t.slowest, took) }
+// recordAnswer records how long an order that was sent once took to be answered.
+func (t *timing) recordAnswer(took burdockclock.Millis) { t.slowest = max(t.slowest, took) }
 
 const (
-	// slowerWeight and fasterWeight take up a round that was slower than usual
-	// sooner than one that was faster: too long a time costs less than orders that
-	// are sent twice.
-	slowerWeight = 2
-	fasterWeight = 4
-	// longerStepWeight takes up steps that were longer than usual more slowly than
-	// shorter ones: those of a group that stands, or has no work for a while, only
-	// seem so.
-	longerStepWeight  = 4.0
-	shorterStepWeight = 2.0
+	// roundIncreaseDivisor and roundDecreaseDivisor smooth the round time, which rises
+	// faster than it falls: too long a timeout costs less than orders that are sent
+	// twice.
+	roundIncreaseDivisor = 2
+	roundDecreaseDivisor = 4
+	// stepIncreaseDivisor and stepDecreaseDivisor smooth the step time, which falls
+	// faster than it rises: the steps of a stalled or idle group only seem long.
+	stepIncreaseDivisor = 4.0
+	stepDecreaseDivisor = 2.0
 )
 
-// ended notes that a round is over.
-func (t *timing) ended() {
+// endRound updates the round time when a round is over.
+func (t *timing) endRound() {
 	took := t.slowest
 	t.slowest = 0
 	switch {
 	case took == 0:
-	case t.round == 0:
-		t.round = took
-	case took > t.round:
-		t.round += (took - t.round + slowerWeight - 1) / slowerWeight
+	case t.roundTime == 0:
+		t.roundTime = took
+	case took > t.roundTime:
+		t.roundTime += (took - t.roundTime + roundIncreaseDivisor - 1) / roundIncreaseDivisor
 	default:
-		t.round -= (t.round - took) / fasterWeight
+		t.roundTime -= (t.roundTime - took) / roundDecreaseDivisor
 	}
 }
 
-// stepSeen notes which step is next. Reports of one moment may be of two steps
-// that follow each other, so a step is measured over a while. Steps that don't
-// follow each other at once, as in a group without work, tell nothing.
-func (t *timing) stepSeen(now burdockclock.Millis, next burdockid.Step) {
-	if t.seen == 0 {
-		t.seen, t.seenAt = next, now
+// recordStep updates the step time from the step that is next. Reports of one moment may
+// name two consecutive steps, so the step time is measured over minStepWindow. Steps with
+// idle time between them, as in a group without requests, do not measure it;
+// maxStepMillis bounds their effect.
+func (t *timing) recordStep(now burdockclock.Millis, next burdockid.Step) {
+	if t.lastNext == 0 {
+		t.lastNext, t.lastNextAt = next, now
 	}
-	if now-t.seenAt < stepWindow || next <= t.seen {
+	if now-t.lastNextAt < minStepWindow || next <= t.lastNext {
 		return
 	}
-	each := min(float64(now-t.seenAt)/float64(next-t.seen), mostStep)
-	t.seen, t.seenAt = next, now
+	sample := min(float64(now-t.lastNextAt)/float64(next-t.lastNext), maxStepMillis)
+	t.lastNext, t.lastNextAt = next, now
 	switch {
-	case t.step == 0:
-		t.step = each
-	case each < t.step:
-		t.step += (each - t.step) / shorterStepWeight
+	case t.stepTime == 0:
+		t.stepTime = sample
+	case sample < t.stepTime:
+		t.stepTime += (sample - t.stepTime) / stepDecreaseDivisor
 	default:
-		t.step += (each - t.step) / longerStepWeight
+		t.stepTime += (sample - t.stepTime) / stepIncreaseDivisor
 	}
 }
 
-// stepWindow is the least time over which steps are measured.
-const stepWindow = 400 * burdockclock.Millis(1)
+// minStepWindow is the minimum time over which the step time is measured.
+const minStepWindow = 400 * burdockclock.Millis(1)
 
-// mostStep bounds the length of a step that one observation can tell, in
-// milliseconds: a group that stood or had no work shows a longer one.
-const mostStep = 500
+// maxStepMillis bounds the step time that one measurement can yield, in milliseconds: a
+// stalled or idle group shows a longer one.
+const maxStepMillis = 500
 
-// roundsPerChange is how many rounds follow one another from the first order to
-// stop before a step to the last one that lets it begin.
+// roundsPerChange is the number of consecutive rounds of a change, from the first order
+// to stop before the switch step to the last one that lets it begin: arm, commit and
+// release.
 const roundsPerChange = 3
 
-// leadMargin is by how many steps a change is set later than its rounds have taken.
+// leadMargin is added to the number of steps that the rounds of a change take.
 const leadMargin = 0.5
 
-// lead returns how many steps ahead a change is to be set so that its rounds end
-// before that step; 0 if that isn't known.
+// lead returns the number of steps by which the switch step has to be ahead so that the
+// rounds of a change end before it; 0 if that is not known.
 //
-// Load: a change every few hundred milliseconds, some of whose rounds take longer
-// than usual. Harm prevented: once in some dozens of changes the group stands for a
-// moment, which is a pause too long for every stream that runs. It is a step that each
-// change waits longer, on average, and with it the skew that it takes away.
+// It is for groups that change their map every few hundred milliseconds, where some
+// rounds take longer than the mean. Without the margin, one change in some dozens stalls
+// the group for a moment, which is too long a pause for every running stream. The margin
+// delays each change by one step on average, and with it the removal of the load skew.
 func (t *timing) lead() burdockid.Step {
-	if t.round == 0 || t.step <= 0 {
+	if t.roundTime == 0 || t.stepTime <= 0 {
 		return 0
 	}
-	return burdockid.Step(math.Ceil(float64(roundsPerChange*t.round)/t.step + leadMargin))
+	return burdockid.Step(math.Ceil(float64(roundsPerChange*t.roundTime)/t.stepTime + leadMargin))
 }
 
-// retriesPerRound is how many times as long as a round an order may go without an
-// answer.
-const retriesPerRound = 3
+// retryRoundFactor is the number of round times after which an unanswered order is sent
+// again.
+const retryRoundFactor = 3
 
-// retry returns the time after which an order without an answer is sent again.
-func (c *Controller) retry(body OrderBody) burdockclock.Millis {
+// retryInterval returns the time after which an unanswered order is sent again.
+func (c *Controller) retryInterval(body OrderBody) burdockclock.Millis {
 	if _, isLoad := body.(Load); isLoad && c.cfg.LoadRetry > 0 {
 		return c.cfg.LoadRetry
 	}
-	if c.cfg.MinRetry == 0 || c.timing.round == 0 {
+	if c.cfg.MinRetry == 0 || c.timing.roundTime == 0 {
 		return c.cfg.Retry
 	}
-	return min(max(retriesPerRound*c.timing.round, c.cfg.MinRetry), c.cfg.Retry)
+	return min(max(retryRoundFactor*c.timing.roundTime, c.cfg.MinRetry), c.cfg.Retry)
 }
 
-// RetryInterval returns how long an order of a kind may go without an answer before
-// it is sent again.
-func (c *Controller) RetryInterval(body OrderBody) burdockclock.Millis { return c.retry(body) }
+// RetryInterval returns the time after which an unanswered order with the given body is
+// sent again.
+func (c *Controller) RetryInterval(body OrderBody) burdockclock.Millis { return c.retryInterval(body) }
 
-// armPatience is how long a rank may take to answer that it is armed: so long
-// that an order which was lost has been sent again.
-func (c *Controller) armPatience() burdockclock.Millis {
+// armTimeout returns how long a rank may take to confirm that it is armed: long enough
+// for a lost order to be sent again.
+func (c *Controller) armTimeout() burdockclock.Millis {
 	if c.cfg.ArmTimeout == 0 || c.cfg.MinRetry == 0 {
 		return c.cfg.ArmTimeout
 	}
-	return c.cfg.ArmTimeout + c.retry(Arm{})
+	return c.cfg.ArmTimeout + c.retryInterval(Arm{})
 }
 
-// armBudget is the rest of the lease that a change has to have: its rounds, one of
-// which may wait for a rank that doesn't answer. More than MaxArmBudget is
-// never asked for, since a lease that is renewed in time has not more.
+// armBudget returns the remaining lease time that a change requires: the time of its
+// rounds, one of which may wait for a rank that does not answer. It never exceeds
+// MaxArmBudget, because a lease that is renewed in time has no more time left than that.
 func (c *Controller) armBudget() burdockclock.Millis {
 	if c.cfg.MaxArmBudget == 0 {
 		return c.cfg.ArmBudget
 	}
-	return min(max(c.cfg.ArmBudget, c.armPatience()+roundsPerChange*c.timing.round), c.cfg.MaxArmBudget)
+	return min(max(c.cfg.ArmBudget, c.armTimeout()+roundsPerChange*c.timing.roundTime), c.cfg.MaxArmBudget)
 }
--- a/internal/group/burdockgroup/withdraw.go
+++ b/internal/group/burdockgroup/withdraw.go
@@ -2,17 +2,17 @@
 
 import "burdockbend.example/burdockbend/internal/base/burdockid"
 
-// stuck reports whether the change can neither go forward nor was let go at any
-// rank: all stop before its step, some have committed, and the others can't load
-// the map.
+// stuck reports whether a change cannot complete and no rank has been released yet: all
+// ranks stop before the switch step, some have committed, and the others cannot load the
+// map.
 //
-// Failure: a rank loses the next map after others have committed to it, as when
-// a newer controller has it load another one, and its engine takes no version
-// below the highest that it has had. Symptom: the ranks that have committed wait
-// for ever for the one that can't, and no request of the group is served again.
-// It is enough to take the commits back: no rank has been released, so none can
-// begin the step, and the group goes on with the map that it has. The same holds
-// when no agent has kept the map's content.
+// This happens when a rank loses the next map after others have committed to it, for
+// example because a newer controller has it load another map and its engine accepts no
+// version below the highest that it has had. It also happens when no agent has kept the
+// map's content. The committed ranks would wait forever for the one that cannot commit,
+// and no request of the group would be served again. Withdrawing the commits is enough:
+// no rank has been released, so none can begin the switch step, and the group continues
+// with its present map.
 func (c *Controller) stuck() bool {
 	failed := false
 	for _, m := range c.members {
@@ -21,7 +21,7 @@
 		}
 		switch {
 		case m.status.Switch.Map == c.goal.Map:
-		case !m.status.has(c.goal.Map) && (m.status.Failed == c.goal.Map || c.lost(c.goal.Map)):
+		case !m.status.has(c.goal.Map) && (m.status.Failed == c.goal.Map || c.contentLost(c.goal.Map)):
 			failed = true
 		default:
 			return false
@@ -30,18 +30,19 @@
 	return failed
 }
 
-// lost reports whether nobody knows the content of a map.
-func (c *Controller) lost(v burdockid.MapVersion) bool {
-	return c.contents[v] == nil && c.keeper(v) < 0
+// contentLost reports whether neither the controller nor any agent has the content of a
+// map.
+func (c *Controller) contentLost(v burdockid.MapVersion) bool {
+	return c.contents[v] == nil && c.contentHolder(v) < 0
 }
 
-// withdrawAll takes the commits back and then lets the ranks go. A rank is let
-// go only when none has a switch any more.
+// withdrawAll withdraws the commits and then lets the ranks run on. No rank may run on
+// until none has a switch any more.
 func (c *Controller) withdrawAll() bool {
 	if !c.drive() {
 		return false
 	}
-	c.wanted, c.target = nil, 0
+	c.wanted, c.wantedVersion = nil, 0
 	for i, m := range c.members {
 		if !m.status.has(c.goal.Map) {
 			c.emit(MapLoadFailed{Map: c.goal.Map, Rank: burdockid.Rank(i)})
