--- a/internal/serve/burdockhosted/agent.go
+++ b/internal/serve/burdockhosted/agent.go
@@ -19,112 +19,114 @@
 	"go.uber.org/zap"
 )
 
-// How a group on the platform follows its popularity. Popularity turns within
-// seconds there, and engines copy experts from each other within tenths of one.
+// Tuning of expert maps on the platform. Popularity shifts within seconds there, and an
+// engine copies experts from another one within tenths of a second.
 const (
-	// skewWeight and costWeight weigh time lost to uneven ranks against time
-	// spent copying. Ranks copy beside each other while the group runs, at
-	// passes 15 in 100 longer: a copy by one of some tens of ranks costs far
-	// less than its own time.
+	// skewWeight and costWeight weigh time lost to uneven ranks against time spent
+	// copying. Ranks copy while the group runs, which makes its steps 15% longer. In a
+	// group of some tens of ranks, a copy by one of them costs far less than the time it
+	// takes.
 	skewWeight = 1.0
 	costWeight = 0.08
-	// expectedHold is how long a turn of popularity is expected to last.
-	expectedHold = 3 * burdockclock.Second
-	// popularityHalfLife is some windows, so that what single prompts ask for
-	// averages out; a swap is seen by itself.
+	// expectedShiftDuration is how long a shift of popularity is expected to last.
+	expectedShiftDuration = 3 * burdockclock.Second
+	// popularityHalfLife spans several counting windows, which averages out what single
+	// prompts ask for. A swap of popularity is detected separately.
 	popularityHalfLife burdockclock.Millis = 1500
-	countsEvery        burdockclock.Millis = 80
-	// leastRankLoads and layersPerLoad keep the copying of one change to some
-	// tenths of a second, a tenth for each load; what is left to gain follows
-	// with the next.
-	leastRankLoads = 1
-	layersPerLoad  = 3
-	// countsRanks are enough to tell a turn from chance, and few enough to be
-	// asked that often.
-	countsRanks = 16
-	// configEvery is how often an agent looks for another shape of its engine.
-	configEvery = 40 * burdockclock.Second
-	// changeGap is the least time between two changes.
-	changeGap burdockclock.Millis = 100
-	tick      burdockclock.Millis = 25
-	// leaseTTL is how long a group may stand when its controller dies in a
-	// change; renewals cost a tenth of a call.
-	leaseTTL     = 1500 * burdockclock.Millis(1)
-	leaseEvery   = 400 * burdockclock.Millis(1)
-	leaseStagger = 1 * burdockclock.Millis(1)
-	// leaseLook is how often an agent looks whether it is its turn to try for the
-	// lease, which costs no call.
-	leaseLook = 50 * burdockclock.Millis(1)
-	// leaseOutage outlasts outages of the store, which last some seconds. Beyond
-	// it a group keeps the map that it has.
-	leaseOutage = 30 * burdockclock.Second
-	// groupPoll finds what nobody noticed, such as a hold that came late.
-	groupPoll = burdockclock.Second
-	// orderRetry is when an unanswered order is sent again until rounds have been
-	// seen, and at the latest; leastRetry is the least, some round trips and looks
-	// at the time.
-	orderRetry = 250 * burdockclock.Millis(1)
-	leastRetry = 75 * burdockclock.Millis(1)
-	// loadRetry outlasts the wait of an agent for its engine's load.
+	countsInterval     burdockclock.Millis = 80
+	// minRankLoads and layersPerLoad bound the copying of one change: each load takes
+	// about 0.1 s, and a change a few tenths of a second. The next change brings the
+	// remaining improvement.
+	minRankLoads  = 1
+	layersPerLoad = 3
+	// sampledRanks is large enough to tell a shift of popularity from chance, and small
+	// enough to poll at countsInterval.
+	sampledRanks = 16
+	// configPollInterval is how often an agent reads the configuration again, in case the
+	// shape of its engine has changed.
+	configPollInterval = 40 * burdockclock.Second
+	// minChangeInterval is the minimum time between two map changes.
+	minChangeInterval burdockclock.Millis = 100
+	tickInterval      burdockclock.Millis = 25
+	// leaseTTL bounds how long a group stalls if its controller dies during a change. A
+	// renewal costs the store a tenth of a call.
+	leaseTTL           = 1500 * burdockclock.Millis(1)
+	leaseRenewInterval = 400 * burdockclock.Millis(1)
+	leaseStagger       = 1 * burdockclock.Millis(1)
+	// leaseRetryInterval is how often an agent checks whether it may try to acquire the
+	// lease. The check makes no call to the store.
+	leaseRetryInterval = 50 * burdockclock.Millis(1)
+	// maxStoreOutage is longer than the usual outages of the store, which last some
+	// seconds. After it the group keeps its current map.
+	maxStoreOutage = 30 * burdockclock.Second
+	// groupPollInterval is the interval at which the controller checks for states that no
+	// rank reports, such as a hold that took effect late.
+	groupPollInterval = burdockclock.Second
+	// orderRetry is the retry delay of an unanswered order until round times have been
+	// measured, and its maximum. minOrderRetry is the minimum: some round trips and
+	// ticks.
+	orderRetry    = 250 * burdockclock.Millis(1)
+	minOrderRetry = 75 * burdockclock.Millis(1)
+	// loadRetry is longer than loadWait, the time for which an agent waits for its engine
+	// to load.
 	loadRetry = 600 * burdockclock.Millis(1)
-	// passPoll is how often it is looked whether the step of a change is past;
-	// until then no other change can be begun.
-	passPoll = 20 * burdockclock.Millis(1)
-	// loadPoll is for loads that outlast the wait for their end.
-	loadPoll = 40 * burdockclock.Millis(1)
-	// changeLead is the rest of one pass and one more. Passes last twice as long
-	// until a map that popularity has outgrown is replaced, so each one that a
-	// change waits is such a pass; more are taken where the rounds of orders need
-	// them.
-	changeLead    burdockid.Step = 1
-	changeLeadMax burdockid.Step = 8
-	// armPatience is how long a group may stand for a rank that doesn't answer,
-	// beside the time in which its order is sent again.
-	armPatience = 250 * burdockclock.Millis(1)
-	// armBudget is several times what the rounds of a change take, and mostArmBudget
-	// what a lease that is renewed in time still has.
-	armBudget     = 500 * burdockclock.Millis(1)
-	mostArmBudget = 900 * burdockclock.Millis(1)
-	// bytesPerMegabit of a link for each millisecond.
+	// switchPollInterval is how often the controller checks whether the group has passed
+	// the step of a switch. No other change can begin before that.
+	switchPollInterval = 20 * burdockclock.Millis(1)
+	// loadPollInterval is for loads that take longer than loadWait.
+	loadPollInterval = 40 * burdockclock.Millis(1)
+	// switchLead covers the rest of the current step and one more. Until an outdated map
+	// is replaced, steps take twice as long, so each step of lead is expensive. The lead
+	// grows, up to maxSwitchLead, if the rounds of orders take longer.
+	switchLead    burdockid.Step = 1
+	maxSwitchLead burdockid.Step = 8
+	// armTimeout is how long a group may stall for a rank that does not answer, in
+	// addition to the retry delay of its order.
+	armTimeout = 250 * burdockclock.Millis(1)
+	// armBudget is several times the duration of the rounds of a change. maxArmBudget is
+	// still left of a lease that is renewed in time.
+	armBudget    = 500 * burdockclock.Millis(1)
+	maxArmBudget = 900 * burdockclock.Millis(1)
+	// bytesPerMegabit converts megabits per second to bytes per millisecond.
 	bytesPerMegabit = 125
 )
 
-func rankLoads(layers int) int { return max(leastRankLoads, layers/layersPerLoad) }
+func maxRankLoads(layers int) int { return max(minRankLoads, layers/layersPerLoad) }
 
-// pace returns how a group follows its popularity from a VM whose link carries so
-// many megabits a second; 0 if that is not known.
-func pace(linkMbps float64) burdockrank.Tuning {
+// tuning returns the settings for map changes on a VM whose link carries linkMbps
+// megabits per second; 0 means unknown.
+func tuning(linkMbps float64) burdockrank.Tuning {
 	return burdockrank.Tuning{
-		HalfLife: popularityHalfLife, CountsInterval: countsEvery, SampledRanks: countsRanks, PlanOnUnconfirmedShift: true, MaxRankLoads: rankLoads, MinChangeInterval: changeGap, TickInterval: tick,
-		LeaseTTL: leaseTTL, LeaseRenewInterval: leaseEvery, MaxStoreOutage: leaseOutage, LeaseStagger: leaseStagger, LeaseRetryInterval: leaseLook,
+		HalfLife: popularityHalfLife, CountsInterval: countsInterval, SampledRanks: sampledRanks, PlanOnUnconfirmedShift: true, MaxRankLoads: maxRankLoads, MinChangeInterval: minChangeInterval, TickInterval: tickInterval,
+		LeaseTTL: leaseTTL, LeaseRenewInterval: leaseRenewInterval, MaxStoreOutage: maxStoreOutage, LeaseStagger: leaseStagger, LeaseRetryInterval: leaseRetryInterval,
 		WatchInterval: burdockclock.Second, LinkBytesPerMilli: linkMbps * bytesPerMegabit,
 		AdjustController: func(cfg *burdockgroup.ControllerConfig) {
-			cfg.Poll, cfg.ArmBudget, cfg.MaxArmBudget = groupPoll, armBudget, mostArmBudget
-			cfg.ArmTimeout = armPatience
-			cfg.Retry, cfg.MinRetry, cfg.LoadRetry = orderRetry, leastRetry, loadRetry
-			cfg.SwitchPoll, cfg.LoadPoll = passPoll, loadPoll
-			cfg.SwitchLead, cfg.MaxSwitchLead, cfg.MinimizeLead = changeLead, changeLeadMax, true
+			cfg.Poll, cfg.ArmBudget, cfg.MaxArmBudget = groupPollInterval, armBudget, maxArmBudget
+			cfg.ArmTimeout = armTimeout
+			cfg.Retry, cfg.MinRetry, cfg.LoadRetry = orderRetry, minOrderRetry, loadRetry
+			cfg.SwitchPoll, cfg.LoadPoll = switchPollInterval, loadPollInterval
+			cfg.SwitchLead, cfg.MaxSwitchLead, cfg.MinimizeLead = switchLead, maxSwitchLead, true
 		},
 	}
 }
 
-// reader reads a part of the store.
-type reader interface {
+// storeReader keeps a local copy of a part of the store.
+type storeReader interface {
 	Start()
 	Close()
 }
 
 type agent struct {
-	log       *zap.Logger
-	host      *burdockrank.Host
-	directory *directory
-	announcer *announcer
-	readers   []reader
-	peers     *http.Server
-	admin     *http.Server
+	log            *zap.Logger
+	host           *burdockrank.Host
+	directory      *directory
+	speedPublisher *speedPublisher
+	readers        []storeReader
+	peers          *http.Server
+	admin          *http.Server
 }
 
-// StartAgent starts the agent beside an upstream.
+// StartAgent starts the agent of an upstream.
 func StartAgent(settings burdocksettings.Hosted, p Platform, log *zap.Logger) (Process, error) {
 	clock := burdockclock.System()
 	site := burdocksite.New()
@@ -139,27 +141,27 @@
 	address := net.JoinHostPort(settings.IP, strconv.Itoa(settings.PeerPort))
 	a := &agent{log: log}
 	a.directory = newDirectory(p.NewRank, settings.UpstreamAddress, address, p.Store, spec, log)
-	a.announcer = newAnnouncer(p.Store, settings.UpstreamAddress, a.directory.speed, log)
-	leases := newLeases(p.Store, mirror, clock, a.directory.Assignment, log)
+	a.speedPublisher = newSpeedPublisher(p.Store, settings.UpstreamAddress, a.directory.speed, log)
+	leaseStore := newLeaseStore(p.Store, mirror, clock, a.directory.Assignment, log)
 	a.host = burdockrank.NewHost(burdockid.Upstream(settings.UpstreamAddress), burdockrank.Deps{
-		Clock: clock, EngineFor: a.directory.engine, RemoteEngine: a.directory.remote, Store: leases,
-		Directory: a.directory, Peers: burdocktransport.NewPeers(nil), Log: log, Tuning: pace(settings.LinkMbps),
+		Clock: clock, EngineFor: a.directory.engine, RemoteEngine: a.directory.remote, Store: leaseStore,
+		Directory: a.directory, Peers: burdocktransport.NewPeers(nil), Log: log, Tuning: tuning(settings.LinkMbps),
 		InitialMap: func(ranks int) (burdockid.MapVersion, []byte, error) {
-			content, err := firstContent(spec(), ranks)
-			return firstMap, content, err
+			content, err := initialMapContent(spec(), ranks)
+			return initialMap, content, err
 		},
 	})
 	config := burdockfollow.New(burdockfollow.TopicConfig, p.Records, site, clock, log)
-	a.readers = []reader{
-		burdockkv.NewPoller(p.Store, p.Records.Prefix(burdockfollow.TopicConfig), config, configEvery, func() bool { return spec() != nil }, log),
-		burdockkv.NewFollower(p.Store, burdockkv.Watching{Prefix: prefixLease, History: settings.StoreHistoryMillis, Gap: leases.watchGap}, mirror, clock, log),
+	a.readers = []storeReader{
+		burdockkv.NewPoller(p.Store, p.Records.Prefix(burdockfollow.TopicConfig), config, configPollInterval, func() bool { return spec() != nil }, log),
+		burdockkv.NewFollower(p.Store, burdockkv.Watching{Prefix: prefixLease, History: settings.StoreHistoryMillis, Gap: leaseStore.watchGap}, mirror, clock, log),
 	}
 	mux := http.NewServeMux()
 	mux.Handle(burdockwire.NewGroupServiceHandler(a.host, burdocktransport.HandlerOptions(maxHeader, maxHeader)...))
 	a.peers, a.admin = newServer(mux), newServer(adminHandler(metrics.NewSet(), nil))
 	err := listenAll(log,
-		listening{a.peers, address},
-		listening{a.admin, net.JoinHostPort(settings.IP, strconv.Itoa(settings.AdminPort))})
+		endpoint{a.peers, address},
+		endpoint{a.admin, net.JoinHostPort(settings.IP, strconv.Itoa(settings.AdminPort))})
 	if err != nil {
 		return nil, err
 	}
@@ -167,7 +169,7 @@
 		r.Start()
 	}
 	a.directory.start()
-	a.announcer.start()
+	a.speedPublisher.start()
 	a.host.Start()
 	log.Info("agent started", zap.String("vm", string(settings.VM)), zap.String("upstream", settings.UpstreamAddress))
 	return a, nil
@@ -177,7 +179,7 @@
 func (a *agent) Stop() {
 	a.log.Info("stopping")
 	a.host.Close()
-	a.announcer.close()
+	a.speedPublisher.close()
 	a.directory.close()
 	for _, r := range a.readers {
 		r.Close()
--- a/internal/serve/burdockhosted/agent_test.go
+++ b/internal/serve/burdockhosted/agent_test.go
@@ -28,10 +28,10 @@
 
 func newSlowGroup(ranks int, round, pass burdockclock.Millis) *slowGroup {
 	cfg := burdockgroup.DefaultControllerConfig(ranks)
-	pace(0).AdjustController(&cfg)
+	tuning(0).AdjustController(&cfg)
 	g := &slowGroup{controller: burdockgroup.NewController(cfg), round: round, pass: pass}
 	for range ranks {
-		g.ranks = append(g.ranks, burdockgroup.EngineStatus{Next: 1, Base: firstMap})
+		g.ranks = append(g.ranks, burdockgroup.EngineStatus{Next: 1, Base: initialMap})
 	}
 	g.tell(burdockgroup.LeaseHeld{Lease: burdockgroup.Lease{Fence: 1, Until: burdockclock.Hour}})
 	return g
--- a/internal/serve/burdockhosted/crash.go
+++ b/internal/serve/burdockhosted/crash.go
@@ -11,37 +11,38 @@
 	"go.uber.org/zap"
 )
 
-// prefixCrash is that of the keys that tell at which upstreams' crashes a request ran:
-// its digest, and the upstream's id.
-const prefixCrash = prefixNews + "crash/"
+// prefixCrash is the prefix of the keys that report which requests were running at an
+// upstream when it crashed. Each key consists of the prefix, the request's digest, "/"
+// and the upstream's id.
+const prefixCrash = prefixNotifications + "crash/"
 
-// crashRecord is the value of such a key.
+// crashRecord is the value of a key under prefixCrash.
 type crashRecord struct {
 	AtMillis burdockclock.Millis `json:"atMillis"` // wall clock
 }
 
-// tellCrashes tells the other entries of crashes.
-func (e *entry) tellCrashes(all []burdocksuspect.Crash) {
+// publishCrashes reports crashes to the other entries.
+func (e *entry) publishCrashes(all []burdocksuspect.Crash) {
 	var puts []burdockkv.Put
 	for _, c := range all {
 		value, err := json.Marshal(crashRecord{AtMillis: c.At})
 		if err != nil {
-			e.log.Error("a crash can't be told", zap.Error(err))
+			e.log.Error("failed to encode a crash", zap.Error(err))
 			continue
 		}
 		puts = append(puts, burdockkv.Put{Key: prefixCrash + c.Request.String() + "/" + string(c.Upstream), Value: value})
 	}
-	e.crashes.tell(puts)
+	e.crashPublisher.publish(puts)
 }
 
-// readCrashes returns the crashes that records tell of. One that can't be read tells
-// of none.
+// readCrashes returns the crashes in the records. It logs and skips records that cannot
+// be decoded.
 func readCrashes(items []burdockkv.Item, log *zap.Logger) []burdocksuspect.Crash {
 	var all []burdocksuspect.Crash
 	for _, item := range items {
 		crash, err := readCrash(item)
 		if err != nil {
-			log.Warn("a record of a crash can't be read", zap.String("key", item.Key), zap.Error(err))
+			log.Warn("skipping unreadable crash record", zap.String("key", item.Key), zap.Error(err))
 			continue
 		}
 		all = append(all, crash)
--- a/internal/serve/burdockhosted/directory.go
+++ b/internal/serve/burdockhosted/directory.go
@@ -17,62 +17,65 @@
 )
 
 const (
-	// prefixOwn is that of all keys that the system writes itself.
-	prefixOwn = "burdock/"
-	// prefixRank is that of the keys that tell where the agent of a rank is.
-	prefixRank = prefixOwn + "rank/"
-	// epochMark stands between a group's name and its epoch in the name of a
-	// seat's group. Each epoch is a group of its own to the machines: nothing
-	// that was known, ordered or leased in one holds in the next.
-	epochMark = "@"
-	// reportEvery is how often an agent asks its engine in which group it is.
-	// A group that was formed anew runs with its first map for as long.
-	reportEvery = 150 * time.Millisecond
-	// remoteLag is the age of what an engine tells another VM, and a little more.
-	remoteLag = 230 * time.Millisecond
-	// loadWait covers the copies of one change, and is well before an order is sent
-	// again.
+	// prefixSystem is the prefix of all keys that are written by burdockbend itself.
+	prefixSystem = "burdock/"
+	// prefixRank is the prefix of the keys that hold the addresses of a rank's agent and
+	// engine.
+	prefixRank = prefixSystem + "rank/"
+	// epochSeparator separates the group's name and its epoch in the group name of a rank
+	// assignment. Each epoch is a separate group to burdockgroup: state, orders and
+	// leases of one epoch do not apply to the next.
+	epochSeparator = "@"
+	// reportInterval is how often an agent polls its engine for its group. A group that
+	// was formed again runs with the initial map for up to this long.
+	reportInterval = 150 * time.Millisecond
+	// remoteReportLag is slightly more than the age of the reports that an engine gives
+	// to other VMs.
+	remoteReportLag = 230 * time.Millisecond
+	// loadWait covers the copies of one change and is well below the retry delay of an
+	// order.
 	loadWait = 200 * time.Millisecond
-	// listAgain is the least time between two readings of all addresses.
-	listAgain = 500 * time.Millisecond
-	// publishAgain is the wait before an address is written again without an
-	// answer.
-	publishAgain = time.Second
+	// minListInterval is the minimum time between two listings of all addresses.
+	minListInterval = 500 * time.Millisecond
+	// addressRetryDelay is the delay before an address is written again after a failed
+	// write.
+	addressRetryDelay = time.Second
 )
 
-// place is where a rank is reached.
-type place struct {
-	agent  string // IP:port of its agent
-	engine string // IP:port of its engine
+// rankAddresses holds the addresses of the two processes of a rank.
+type rankAddresses struct {
+	agent  string // IP:port
+	engine string // IP:port
 }
 
-// directory tells the seat by the engine's own report, and the other agents by
-// the keys that each writes for itself. It implements burdockrank.Directory.
+// directory reads this agent's rank assignment from the engine's reports, and the
+// addresses of the other agents from the keys that each agent writes. It implements
+// burdockrank.Directory.
 type directory struct {
-	rank    Rank
-	ranks   func(address string) Rank
-	address string // of this agent, for its peers
-	replica string // address of the engine
-	store   burdockkv.Store
-	spec    func() *burdocksite.Engine
-	log     *zap.Logger
-	speed   *ownSpeed // of the engine
+	rank          Rank
+	newRank       func(address string) Rank
+	address       string // of this agent, given to its peers
+	engineAddress string // of this agent's engine
+	store         burdockkv.Store
+	spec          func() *burdocksite.Engine
+	log           *zap.Logger
+	speed         *engineSpeed // of this agent's engine
 
 	ctx    context.Context
 	cancel context.CancelFunc
 	done   sync.WaitGroup
 
-	mu          sync.Mutex
-	seat        burdockrank.Assignment
-	published   string // the key that holds this agent's address
-	publishedAt time.Time
-	places      map[string]place // by key, as last listed
-	listedAt    time.Time
+	mu           sync.Mutex
+	assignment   burdockrank.Assignment
+	publishedKey string // key that holds this agent's address; empty before the first write
+	publishedAt  time.Time
+	addresses    map[string]rankAddresses // by key, as last listed
+	listedAt     time.Time
 }
 
-func newDirectory(ranks func(address string) Rank, replica, address string, store burdockkv.Store, spec func() *burdocksite.Engine, log *zap.Logger) *directory {
+func newDirectory(newRank func(address string) Rank, engineAddress, address string, store burdockkv.Store, spec func() *burdocksite.Engine, log *zap.Logger) *directory {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &directory{rank: ranks(replica), ranks: ranks, replica: replica, address: address, store: store, spec: spec, log: log, speed: newOwnSpeed(log), ctx: ctx, cancel: cancel}
+	return &directory{rank: newRank(engineAddress), newRank: newRank, engineAddress: engineAddress, address: address, store: store, spec: spec, log: log, speed: newEngineSpeed(log), ctx: ctx, cancel: cancel}
 }
 
 func (d *directory) start() {
@@ -87,46 +90,47 @@
 
 func (d *directory) loop() {
 	defer d.done.Done()
-	ticker := time.NewTicker(reportEvery)
+	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-d.ctx.Done():
 			return
 		case <-ticker.C:
-			d.look()
+			d.poll()
 		}
 	}
 }
 
-// look asks the engine where it is. An engine that doesn't answer may be slow;
-// its seat stands until it says otherwise, as orders to it fail by themselves.
-func (d *directory) look() {
+// poll reads the engine's report and updates the rank assignment. If the engine does not
+// answer, it may only be slow: the assignment stays, and orders to the engine fail on
+// their own.
+func (d *directory) poll() {
 	report, err := d.rank.Report(d.ctx)
 	if err != nil {
 		return
 	}
-	d.speed.saw(report)
-	seat := burdockrank.Assignment{}
+	d.speed.observe(report)
+	assignment := burdockrank.Assignment{}
 	if report.Open && report.Ranks > 1 && d.spec() != nil && d.spec().Layers > 0 {
-		seat = burdockrank.Assignment{
-			Group: report.Group + epochMark + strconv.FormatInt(report.Epoch, 10),
+		assignment = burdockrank.Assignment{
+			Group: report.Group + epochSeparator + strconv.FormatInt(report.Epoch, 10),
 			Rank:  report.Rank, Ranks: report.Ranks,
 		}
 	}
-	d.sit(seat)
+	d.setAssignment(assignment)
 	if report.Group != "" {
 		d.publish(rankKey(report.Group, report.Rank))
 	}
 }
 
-func (d *directory) sit(seat burdockrank.Assignment) {
+func (d *directory) setAssignment(assignment burdockrank.Assignment) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if seat != d.seat {
-		d.log.Info("seat", zap.String("group", seat.Group), zap.Int("rank", int(seat.Rank)), zap.Int("ranks", seat.Ranks),
-			zap.String("before", d.seat.Group))
-		d.seat = seat
+	if assignment != d.assignment {
+		d.log.Info("seat", zap.String("group", assignment.Group), zap.Int("rank", int(assignment.Rank)), zap.Int("ranks", assignment.Ranks),
+			zap.String("before", d.assignment.Group))
+		d.assignment = assignment
 	}
 }
 
@@ -134,118 +138,118 @@
 	return prefixRank + group + "/" + strconv.Itoa(int(rank))
 }
 
-// publish writes this agent's address where its peers look, once in a life.
+// publish writes this agent's address under its rank's key, unless this process has done
+// so already.
 func (d *directory) publish(key string) {
-	if d.published == key || time.Since(d.publishedAt) < publishAgain {
+	if d.publishedKey == key || time.Since(d.publishedAt) < addressRetryDelay {
 		return
 	}
 	d.publishedAt = time.Now()
-	if _, err := d.store.Write(d.ctx, nil, []burdockkv.Put{{Key: key, Value: []byte(d.address + " " + d.replica)}}); err != nil {
-		d.log.Warn("the agent's address was not written", zap.String("key", key), zap.Error(err))
+	if _, err := d.store.Write(d.ctx, nil, []burdockkv.Put{{Key: key, Value: []byte(d.address + " " + d.engineAddress)}}); err != nil {
+		d.log.Warn("failed to write the agent's address", zap.String("key", key), zap.Error(err))
 		return
 	}
-	d.published = key
+	d.publishedKey = key
 }
 
 // Refresh implements burdockrank.Directory.
 //
-// Load: as many agents as ranks, each of which writes its address as it starts.
-// Harm prevented: if all watched these keys, that would be a call for each pair
-// of them. Only who has to reach the others reads their addresses, once it
-// misses one.
+// A group has as many agents as ranks, and each writes its address when it starts. If all
+// of them watched these keys, that would cost a call per pair of agents. So an agent
+// lists the addresses only when it needs one that it does not have.
 func (d *directory) Refresh(group string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if time.Since(d.listedAt) < listAgain || d.ctx.Err() != nil {
+	if time.Since(d.listedAt) < minListInterval || d.ctx.Err() != nil {
 		return
 	}
 	d.listedAt = time.Now()
 	d.done.Add(1)
-	go listing{d, group}.run()
+	go addressReader{d, group}.run()
 }
 
 // Reload implements burdockrank.Directory.
 func (d *directory) Reload(ctx context.Context, group string) {
-	ctx, cancel := context.WithTimeout(ctx, listAgain)
+	ctx, cancel := context.WithTimeout(ctx, minListInterval)
 	defer cancel()
 	d.mu.Lock()
 	d.listedAt = time.Now()
 	d.mu.Unlock()
-	listing{d, group}.read(ctx)
+	addressReader{d, group}.read(ctx)
 }
 
-// listing reads the addresses of a group's agents.
-type listing struct {
+// addressReader lists the addresses of a group's agents and engines.
+type addressReader struct {
 	directory *directory
 	group     string
 }
 
-func (l listing) run() {
-	defer l.directory.done.Done()
-	l.read(l.directory.ctx)
+func (r addressReader) run() {
+	defer r.directory.done.Done()
+	r.read(r.directory.ctx)
 }
 
-func (l listing) read(ctx context.Context) {
-	d := l.directory
-	name, _, _ := strings.Cut(l.group, epochMark)
+func (r addressReader) read(ctx context.Context) {
+	d := r.directory
+	name, _, _ := strings.Cut(r.group, epochSeparator)
 	items, _, err := d.store.List(ctx, prefixRank+name+"/")
 	if err != nil {
-		d.log.Warn("the agents' addresses were not read", zap.String("group", name), zap.Error(err))
+		d.log.Warn("failed to list the agents' addresses", zap.String("group", name), zap.Error(err))
 		return
 	}
-	places := map[string]place{}
+	addresses := map[string]rankAddresses{}
 	for _, item := range items {
 		agent, engine, _ := strings.Cut(string(item.Value), " ")
-		places[item.Key] = place{agent: agent, engine: engine}
+		addresses[item.Key] = rankAddresses{agent: agent, engine: engine}
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.places = places
+	d.addresses = addresses
 }
 
 // Assignment implements burdockrank.Directory.
 func (d *directory) Assignment() burdockrank.Assignment {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.seat
+	return d.assignment
 }
 
 // Agent implements burdockrank.Directory.
 func (d *directory) Agent(group string, rank burdockid.Rank) string {
-	name, _, _ := strings.Cut(group, epochMark)
+	name, _, _ := strings.Cut(group, epochSeparator)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.places[rankKey(name, rank)].agent
+	return d.addresses[rankKey(name, rank)].agent
 }
 
-// remote returns the engine of another rank of a group, as it is ordered from
-// this VM.
+// remote returns the engine of another rank, controlled from this VM; nil if its address
+// is not known.
 func (d *directory) remote(group string, rank burdockid.Rank) burdockengine.GroupEngine {
-	name, _, _ := strings.Cut(group, epochMark)
+	name, _, _ := strings.Cut(group, epochSeparator)
 	d.mu.Lock()
-	address := d.places[rankKey(name, rank)].engine
+	address := d.addresses[rankKey(name, rank)].engine
 	d.mu.Unlock()
 	if address == "" {
 		return nil
 	}
-	return &engine{rank: d.ranks(address), spec: d.spec, epoch: d.epochOf(group), lag: remoteLag, speed: newOwnSpeed(d.log)}
+	return &engine{rank: d.newRank(address), spec: d.spec, epoch: d.epochOf(group), reportLag: remoteReportLag, speed: newEngineSpeed(d.log)}
 }
 
-// engine returns the engine of a seat.
-func (d *directory) engine(seat burdockrank.Assignment) burdockengine.GroupEngine {
-	return &engine{rank: d.rank, spec: d.spec, epoch: d.epochOf(seat.Group), speed: d.speed, loadWait: loadWait}
+// engine returns the engine for this agent's own rank assignment.
+func (d *directory) engine(assignment burdockrank.Assignment) burdockengine.GroupEngine {
+	return &engine{rank: d.rank, spec: d.spec, epoch: d.epochOf(assignment.Group), speed: d.speed, loadWait: loadWait}
 }
 
 func (d *directory) epochOf(group string) int64 {
-	_, epoch, _ := strings.Cut(group, epochMark)
+	_, epoch, _ := strings.Cut(group, epochSeparator)
 	n, err := strconv.ParseInt(epoch, 10, 64)
 	if err != nil {
-		d.log.Error("a seat without an epoch", zap.String("group", group))
+		d.log.Error("rank assignment without an epoch", zap.String("group", group))
 	}
 	return n
 }
 
 // Experts implements burdockrank.Directory.
 func (d *directory) Experts() burdockprofile.Experts {
-	return burdockprofile.Experts{SkewWeight: skewWeight, CostWeight: costWeight, HoldMillis: expectedHold}
+	return burdockprofile.Experts{SkewWeight: skewWeight, CostWeight: costWeight, HoldMillis: expectedShiftDuration}
 }
--- a/internal/serve/burdockhosted/engine.go
+++ b/internal/serve/burdockhosted/engine.go
@@ -15,32 +15,31 @@
 	"github.com/joomcode/errorx"
 )
 
-// firstMap is the version of the map with which each epoch begins. Versions
-// that controllers give out are far higher: a fencing number is part of them.
-const firstMap burdockid.MapVersion = 1
+// initialMap is the version of the map with which each epoch begins. Controllers assign
+// far higher versions, as a fencing number is part of them.
+const initialMap burdockid.MapVersion = 1
 
-// engine is a Rank as the machines of burdockgroup see it.
+// engine adapts a Rank to the state machines of burdockgroup.
 //
-// An order without an answer may be carried out seconds later. Each order
-// names the count of orders begun that the agent has read, and the epoch: so
-// of all orders that were given after one reading one at most takes effect,
-// and as soon as any has, the others are void. The machines repeat an order
-// until the status shows its effect, so none is left that could come late.
+// An order without an answer may still be carried out seconds later. Each order therefore
+// names the epoch and the order count that the agent has read. Of all orders based on the
+// same count at most one takes effect, and the others are void afterwards. The state
+// machines repeat an order until the status shows its effect, so no order is left that
+// could take effect late.
 type engine struct {
 	rank Rank
 	spec func() *burdocksite.Engine
-	// lag is how old a report may be; 0 on the engine's own VM. An order that is
-	// based on an old one is void, and the status after an order is that of
-	// before until the lag has passed.
-	lag time.Duration
-	// loadWait is how long the answer to an order to load waits for the load to
-	// end.
+	// reportLag is the maximum age of a report; 0 on the engine's own VM. An order based
+	// on an outdated report is void, and the status does not show an order's effect until
+	// reportLag has passed.
+	reportLag time.Duration
+	// loadWait is how long Order waits for a load to end before it returns.
 	loadWait time.Duration
-	// speed is that of the engine, by all reports that are read of it.
-	speed *ownSpeed
+	// speed is updated from all reports that are read.
+	speed *engineSpeed
 
 	mu      sync.Mutex
-	epoch   int64 // of the seat that the orders are for
+	epoch   int64 // of the rank assignment; orders are valid in this epoch only
 	loading burdockid.MapVersion
 	failed  burdockid.MapVersion
 }
@@ -53,16 +52,16 @@
 	if err != nil {
 		return burdockgroup.EngineStatus{}, err
 	}
-	out, err := translate(order, before)
-	if err != nil || out == nil {
+	rankOrder, err := translate(order, before)
+	if err != nil || rankOrder == nil {
 		return e.status(before), err
 	}
-	after, given, err := e.give(ctx, before, out)
+	after, orderErr, err := e.submit(ctx, before, rankOrder)
 	if err != nil {
 		return burdockgroup.EngineStatus{}, err
 	}
 	if load, ok := order.(burdockgroup.LoadMap); ok {
-		e.noteLoad(load.Map, given, before.OrderCount == after.OrderCount)
+		e.recordLoad(load.Map, orderErr, before.OrderCount == after.OrderCount)
 		if after, err = e.awaitLoad(ctx, int64(load.Map), after); err != nil {
 			return burdockgroup.EngineStatus{}, err
 		}
@@ -70,47 +69,47 @@
 	return e.status(after), nil
 }
 
-// give gives an order until it is answered or the report shows its effect.
+// submit sends an order until it is answered or the report shows its effect.
 //
-// Load: an engine that leaves a third of its orders unanswered, in a group that
-// stands until each rank has carried out three. Harm prevented: a group that
-// stands for half a second more with each of them. An order that is repeated
-// names the same count of orders begun, so one at most takes effect.
-func (e *engine) give(ctx context.Context, before RankReport, out RankOrder) (after RankReport, given, err error) {
-	for range mostTries {
-		given = e.rank.Order(ctx, e.epoch, before.OrderCount, out)
-		if e.lag > 0 {
-			rest(ctx, e.lag)
+// An engine may leave a third of its orders unanswered, and a group stalls until each
+// rank has carried out three. Leaving retries to the controller would stall the group by
+// half a second for each lost answer. Repeating is safe, as all attempts name the same
+// order count, so at most one of them takes effect.
+func (e *engine) submit(ctx context.Context, before RankReport, rankOrder RankOrder) (after RankReport, orderErr, err error) {
+	for range maxOrderAttempts {
+		orderErr = e.rank.Order(ctx, e.epoch, before.OrderCount, rankOrder)
+		if e.reportLag > 0 {
+			sleep(ctx, e.reportLag)
 		}
 		if after, err = e.read(ctx); err != nil {
-			return after, given, err
+			return after, orderErr, err
 		}
-		if !errorx.IsOfType(given, ErrNoAnswer) {
-			return after, given, nil
+		if !errorx.IsOfType(orderErr, ErrNoAnswer) {
+			return after, orderErr, nil
 		}
 		if after.OrderCount != before.OrderCount {
-			return after, nil, nil // an order took effect: the status says which
+			return after, nil, nil // an order took effect; the status shows which one
 		}
 	}
-	return after, given, given
+	return after, orderErr, orderErr
 }
 
-// loadLook is the time between two looks whether a load has ended.
-const loadLook = 10 * time.Millisecond
+// loadCheckInterval is how often an agent checks whether a load has ended.
+const loadCheckInterval = 10 * time.Millisecond
 
-// awaitLoad waits for a load that was begun, and returns the report that shows
-// its end or the last one before loadWait is over.
+// awaitLoad waits until a started load has ended, but no longer than loadWait, and
+// returns the latest report.
 //
-// Load: a change of the map, for which every rank loads some experts. Harm
-// prevented: a controller that asks hundreds of ranks again and again whether they
-// have loaded. Each agent asks its own engine instead, which costs no way.
+// In a map change every rank loads some experts. Without this wait the controller would
+// poll hundreds of ranks over the network until they have loaded. Each agent polls its
+// own engine instead, on the same VM.
 func (e *engine) awaitLoad(ctx context.Context, version int64, after RankReport) (RankReport, error) {
 	var err error
-	for waited := time.Duration(0); waited < e.loadWait && e.loading == burdockid.MapVersion(version); waited += loadLook {
+	for waited := time.Duration(0); waited < e.loadWait && e.loading == burdockid.MapVersion(version); waited += loadCheckInterval {
 		if after.Prepared == version || after.Map == version || ctx.Err() != nil {
 			break
 		}
-		rest(ctx, loadLook)
+		sleep(ctx, loadCheckInterval)
 		if after, err = e.read(ctx); err != nil {
 			return after, err
 		}
@@ -118,13 +117,13 @@
 	return after, nil
 }
 
-// mostTries bounds how often one order is given at once. A change needs an order
-// to each rank of a group to be carried out in each of its rounds, so that in a
-// large group hardly one in thousands may be given up.
-const mostTries = 10
+// maxOrderAttempts bounds the immediate retries of one order. Every round of a change
+// needs an order to be carried out at each rank, so in a large group hardly one order in
+// thousands may be given up.
+const maxOrderAttempts = 10
 
-// rest waits for d or until ctx ends.
-func rest(ctx context.Context, d time.Duration) {
+// sleep waits for d or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -133,65 +132,65 @@
 	}
 }
 
-// noteLoad remembers a load that was begun, or one that the engine won't take.
-// A refusal after which other orders were begun may be due to them alone.
-func (e *engine) noteLoad(v burdockid.MapVersion, given error, untouched bool) {
+// recordLoad records that a load was started, or that the engine refused it. If the order
+// count has changed, other orders may have caused the refusal, and nothing is recorded.
+func (e *engine) recordLoad(v burdockid.MapVersion, orderErr error, unchanged bool) {
 	switch {
-	case given == nil:
+	case orderErr == nil:
 		e.loading = v
-	case untouched:
+	case unchanged:
 		e.failed = v
 	}
 }
 
-// read returns the engine's report if it is of the seat's epoch.
+// read returns the engine's report. It fails if the engine is not in a running group of
+// the assignment's epoch.
 func (e *engine) read(ctx context.Context) (RankReport, error) {
 	report, err := e.rank.Report(ctx)
 	if err != nil {
 		return report, err
 	}
-	e.speed.saw(report)
+	e.speed.observe(report)
 	if !report.Open || report.Epoch != e.epoch {
-		return report, ErrNoGroup.New("epoch %d, open %t; the seat is in epoch %d", report.Epoch, report.Open, e.epoch)
+		return report, ErrNoGroup.New("epoch %d, open %t; the rank assignment is for epoch %d", report.Epoch, report.Open, e.epoch)
 	}
 	return report, nil
 }
 
-// translate returns the rank's order for an engine order; nil if there is
-// nothing to do.
-func translate(order burdockgroup.EngineOrder, now RankReport) (RankOrder, error) {
+// translate returns the rank's order for an engine order; nil if there is nothing to do.
+func translate(order burdockgroup.EngineOrder, report RankReport) (RankOrder, error) {
 	switch o := order.(type) {
 	case burdockgroup.LoadMap:
-		if v := int64(o.Map); v == now.Map || v == now.Prepared || v == now.ArmedMap || o.Map == firstMap {
+		if v := int64(o.Map); v == report.Map || v == report.Prepared || v == report.ArmedMap || o.Map == initialMap {
 			return nil, nil
 		}
-		experts, err := expertsOf(o.Content)
+		experts, err := decodeExperts(o.Content)
 		return Prepare{Version: int64(o.Map), Experts: experts}, err
 	case burdockgroup.HoldAt:
-		if now.Step >= o.Step || now.Held && now.HeldStep == o.Step {
+		if report.Step >= o.Step || report.Held && report.HeldStep == o.Step {
 			return nil, nil
 		}
 		return Hold(o), nil
 	case burdockgroup.UseFrom:
-		if !now.Held || now.HeldStep != o.Step || now.ArmedMap != 0 {
+		if !report.Held || report.HeldStep != o.Step || report.ArmedMap != 0 {
 			return nil, nil
 		}
 		return Arm{Version: int64(o.Map), Step: o.Step}, nil
 	case burdockgroup.Resume:
-		if !now.Held || now.HeldStep != o.Step || burdockid.MapVersion(now.ArmedMap) != o.Switch.Map {
+		if !report.Held || report.HeldStep != o.Step || burdockid.MapVersion(report.ArmedMap) != o.Switch.Map {
 			return nil, nil
 		}
 		return Resume{Step: o.Step}, nil
 	case burdockgroup.DropSwitch:
-		if !now.Held || now.HeldStep != o.Step || now.ArmedMap == 0 || burdockid.MapVersion(now.ArmedMap) != o.Switch.Map {
+		if !report.Held || report.HeldStep != o.Step || report.ArmedMap == 0 || burdockid.MapVersion(report.ArmedMap) != o.Switch.Map {
 			return nil, nil
 		}
-		return Disarm{Version: now.ArmedMap}, nil
+		return Disarm{Version: report.ArmedMap}, nil
 	}
 	return nil, nil
 }
 
-func expertsOf(content []byte) ([][][]int, error) {
+func decodeExperts(content []byte) ([][][]int, error) {
 	m, err := burdockexpert.Decode(content)
 	if err != nil {
 		return nil, err
@@ -210,7 +209,7 @@
 	return experts, nil
 }
 
-// status is the report in the machines' terms.
+// status converts a report to the status that burdockgroup expects.
 func (e *engine) status(r RankReport) burdockgroup.EngineStatus {
 	s := burdockgroup.EngineStatus{
 		Next: r.Step + 1, Base: mapVersion(r.Map),
@@ -229,8 +228,8 @@
 	return s
 }
 
-// Steps implements burdockengine.GroupEngine. Steps are not told one by one; an
-// engine that starts again breaks its group, which begins another epoch.
+// Steps implements burdockengine.GroupEngine. It returns no single steps. An engine that
+// restarts ends its group's epoch, so the epoch identifies the run.
 func (e *engine) Steps(context.Context, burdockid.Step) (burdockengine.GroupSteps, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -249,7 +248,7 @@
 	}
 	out := burdockengine.GroupCounts{
 		Life: burdockengine.Life(strconv.FormatInt(epoch, 10)), Slots: spec.Places, MaxLoads: spec.Spare,
-		ExpertBytes: spec.ExpertBytes, StoreRate: spec.CopyRate, Speed: e.speed.now(),
+		ExpertBytes: spec.ExpertBytes, StoreRate: spec.CopyRate, Speed: e.speed.current(),
 	}
 	for l := 0; l < spec.Layers && (l+1)*spec.Experts <= len(counts); l++ {
 		out.Tokens = append(out.Tokens, counts[l*spec.Experts:(l+1)*spec.Experts])
@@ -264,24 +263,26 @@
 		return 0, nil, err
 	}
 	if epoch != e.epoch {
-		return 0, nil, ErrNoGroup.New("epoch %d; the seat is in epoch %d", epoch, e.epoch)
+		return 0, nil, ErrNoGroup.New("epoch %d; the rank assignment is for epoch %d", epoch, e.epoch)
 	}
 	return mapVersion(version), experts, nil
 }
 
 // Speed implements burdockengine.SpeedTeller.
-func (e *engine) Speed() burdockspeed.Speed { return e.speed.now() }
+func (e *engine) Speed() burdockspeed.Speed { return e.speed.current() }
 
-// mapVersion is the version of a map in use.
+// mapVersion returns the version of a map in use, where the engine reports the initial
+// map as 0.
 func mapVersion(v int64) burdockid.MapVersion {
 	if v == 0 {
-		return firstMap
+		return initialMap
 	}
 	return burdockid.MapVersion(v)
 }
 
-// firstContent is the map that each epoch begins with: experts in turn.
-func firstContent(spec *burdocksite.Engine, ranks int) ([]byte, error) {
+// initialMapContent returns the map with which each epoch begins: the experts of each
+// layer are assigned to the ranks round-robin.
+func initialMapContent(spec *burdocksite.Engine, ranks int) ([]byte, error) {
 	m := burdockexpert.NewMap(burdockexpert.Shape{Layers: spec.Layers, Ranks: ranks, Experts: spec.Experts})
 	for l := range spec.Layers {
 		for e := range spec.Experts {
--- a/internal/serve/burdockhosted/engine_test.go
+++ b/internal/serve/burdockhosted/engine_test.go
@@ -31,7 +31,7 @@
 	group := &fakeGroup{used: map[int64]bool{}}
 	r := &deafRank{fakeRank: fakeRank{group: group}, deaf: deaf}
 	group.ranks = []*fakeRank{&r.fakeRank}
-	return r, &engine{rank: r, spec: func() *burdocksite.Engine { return nil }, epoch: 1, speed: newOwnSpeed(zap.NewNop())}
+	return r, &engine{rank: r, spec: func() *burdocksite.Engine { return nil }, epoch: 1, speed: newEngineSpeed(zap.NewNop())}
 }
 
 // A group stands until an engine has carried out an order that it leaves
@@ -50,7 +50,7 @@
 	if _, err := e.Order(context.Background(), 1, burdockgroup.HoldAt{Step: 5}); !errorx.IsOfType(err, ErrNoAnswer) {
 		t.Errorf("an engine that never answers: got %v, want no answer", err)
 	}
-	if got, most := r.given, mostTries; got > most {
+	if got, most := r.given, maxOrderAttempts; got > most {
 		t.Errorf("orders given: got %d, want %d at most", got, most)
 	}
 }
@@ -69,11 +69,11 @@
 }
 
 func TestFirstMapHoldsExpertsInTurn(t *testing.T) {
-	content, err := firstContent(&burdocksite.Engine{Layers: 2, Experts: 4}, 2)
+	content, err := initialMapContent(&burdocksite.Engine{Layers: 2, Experts: 4}, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
-	experts, err := expertsOf(content)
+	experts, err := decodeExperts(content)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/serve/burdockhosted/entry.go
+++ b/internal/serve/burdockhosted/entry.go
@@ -1,5 +1,5 @@
-// Package burdockhosted puts the parts of an entry or an agent together into a
-// process on a site whose platform keeps routes and membership.
+// Package burdockhosted assembles the entry and agent processes for sites where the
+// hosting platform manages routes and membership.
 package burdockhosted
 
 import (
@@ -19,31 +19,32 @@
 	"go.uber.org/zap"
 )
 
-// Platform is what a process needs of the platform's adapter.
+// Platform holds what a process needs from the platform's adapter.
 type Platform struct {
 	Store   burdockkv.Store
 	Records burdockfollow.Decoder
 	Dialect burdockdirect.Dialect
-	// NewRank returns the engine of a rank at an IP:port.
+	// NewRank returns the engine at an IP:port.
 	NewRank func(address string) Rank
 }
 
 // Process is a running entry or agent.
 type Process interface {
-	// Stop is the planned stop. It returns when nothing is in flight, or at the
-	// end of the grace time.
+	// Stop shuts the process down gracefully. It returns when no request is in flight, or
+	// at the end of the grace time.
 	Stop()
 }
 
 const (
-	// idleCheck is how often a stopping process looks whether it is idle.
-	idleCheck = 20 * time.Millisecond
-	// leastLinger is how long a stopping entry goes on even when it is idle:
-	// callers whose connections are open may be about to send, and the platform
-	// takes two questions, a second apart, to send no new ones.
-	leastLinger = 3 * burdockclock.Second
-	// endMargin is kept of the grace time to end what is left in order.
-	endMargin burdockclock.Millis = 400
+	// idlePollInterval is how often a stopping entry checks whether it is idle.
+	idlePollInterval = 20 * time.Millisecond
+	// minDrainTime is how long a stopping entry keeps serving even if it is idle. Callers
+	// with open connections may be about to send a request, and the platform stops
+	// sending new ones only after two readiness checks, one second apart.
+	minDrainTime = 3 * burdockclock.Second
+	// shutdownMargin is the part of the grace time that is reserved for an orderly end of
+	// what is still open.
+	shutdownMargin burdockclock.Millis = 400
 )
 
 type entry struct {
@@ -55,9 +56,9 @@
 	ready     *http.Server
 	admin     *http.Server
 	followers []*burdockkv.Follower
-	// crashes and doubts tell the other entries.
-	crashes *teller
-	doubts  *teller
+	// crashPublisher and suspectedPublisher send notifications to the other entries.
+	crashPublisher     *publisher
+	suspectedPublisher *publisher
 }
 
 // StartEntry starts an entry.
@@ -66,34 +67,34 @@
 	clock := burdockclock.System()
 	site := burdocksite.New()
 	e := &entry{settings: settings, clock: clock, log: log}
-	e.crashes = newTeller(p.Store, settings.QuarantineMillis, true, log)
-	e.doubts = newTeller(p.Store, doubtTTL, false, log)
+	e.crashPublisher = newPublisher(p.Store, settings.QuarantineMillis, true, log)
+	e.suspectedPublisher = newPublisher(p.Store, suspectedTTL, false, log)
 	e.entry = burdockdirect.New(
 		burdockdirect.Config{DataCentre: settings.DataCentre, GraceMillis: settings.GraceMillis, QuarantineMillis: settings.QuarantineMillis},
 		burdockdirect.Deps{
 			Clock: clock, Site: site, Dialect: p.Dialect, Log: log, Metrics: set, Seed: rand.Uint64(),
-			PublishCrashes: e.tellCrashes, PublishSuspected: e.tellDoubt,
+			PublishCrashes: e.publishCrashes, PublishSuspected: e.publishSuspected,
 		},
 	)
 	site.Subscribe(e.entry.ApplySnapshot)
 	for _, topic := range burdockfollow.Topics() {
 		sink := burdockfollow.New(topic, p.Records, site, clock, log)
-		e.followers = append(e.followers, burdockkv.NewFollower(p.Store, e.watching(p.Records.Prefix(topic)), sink, clock, log))
+		e.followers = append(e.followers, burdockkv.NewFollower(p.Store, e.watchConfig(p.Records.Prefix(topic)), sink, clock, log))
 	}
-	told := newNews(e.entry, log)
-	e.followers = append(e.followers, burdockkv.NewFollower(p.Store, e.watching(prefixNews), told.mirror, clock, log))
+	notifications := newNotificationReader(e.entry, log)
+	e.followers = append(e.followers, burdockkv.NewFollower(p.Store, e.watchConfig(prefixNotifications), notifications.mirror, clock, log))
 	e.callers = newServer(e.entry)
 	e.ready = newServer(http.HandlerFunc(e.serveReady))
 	e.admin = newServer(adminHandler(set, e.entry.CrashingRequests))
 	err := listenAll(log,
-		listening{e.callers, settings.CallerListen},
-		listening{e.ready, settings.ReadyListen},
-		listening{e.admin, net.JoinHostPort(settings.IP, strconv.Itoa(settings.AdminPort))})
+		endpoint{e.callers, settings.CallerListen},
+		endpoint{e.ready, settings.ReadyListen},
+		endpoint{e.admin, net.JoinHostPort(settings.IP, strconv.Itoa(settings.AdminPort))})
 	if err != nil {
 		return nil, err
 	}
-	e.crashes.start()
-	e.doubts.start()
+	e.crashPublisher.start()
+	e.suspectedPublisher.start()
 	for _, f := range e.followers {
 		f.Start()
 	}
@@ -102,13 +103,13 @@
 	return e, nil
 }
 
-func (e *entry) watching(prefix string) burdockkv.Watching {
+func (e *entry) watchConfig(prefix string) burdockkv.Watching {
 	return burdockkv.Watching{Prefix: prefix, History: e.settings.StoreHistoryMillis}
 }
 
 func (e *entry) serveReady(w http.ResponseWriter, _ *http.Request) {
-	if why := e.entry.Ready(); why != "" {
-		http.Error(w, why, http.StatusServiceUnavailable)
+	if reason := e.entry.Ready(); reason != "" {
+		http.Error(w, reason, http.StatusServiceUnavailable)
 		return
 	}
 	w.WriteHeader(http.StatusOK)
@@ -116,24 +117,24 @@
 
 // Stop implements Process.
 //
-// Failure: idle connections are closed at once, as a request is on its way on
-// one of them. Symptom: a caller's request is cut by a planned stop. So all
-// connections stay open; each answer asks its caller to close.
+// It closes no idle connection, because a request may already be on its way on it, and a
+// planned stop would then fail a caller's request. All connections stay open; each answer
+// asks its caller to close.
 func (e *entry) Stop() {
-	began := e.clock.Boot()
+	start := e.clock.Boot()
 	e.log.Info("stopping")
 	e.entry.Drain()
-	latest := began + e.settings.GraceMillis - endMargin
-	for now := began; now < latest; now = e.clock.Boot() {
-		if now-began >= leastLinger && e.entry.Idle() {
+	deadline := start + e.settings.GraceMillis - shutdownMargin
+	for now := start; now < deadline; now = e.clock.Boot() {
+		if now-start >= minDrainTime && e.entry.Idle() {
 			break
 		}
-		time.Sleep(idleCheck)
+		time.Sleep(idlePollInterval)
 	}
 	for _, f := range e.followers {
 		f.Close()
 	}
-	e.crashes.close()
-	e.doubts.close()
-	e.log.Info("stopped", zap.Bool("idle", e.entry.Idle()), zap.Int64("tookMillis", int64(e.clock.Boot()-began)))
+	e.crashPublisher.close()
+	e.suspectedPublisher.close()
+	e.log.Info("stopped", zap.Bool("idle", e.entry.Idle()), zap.Int64("tookMillis", int64(e.clock.Boot()-start)))
 }
--- a/internal/serve/burdockhosted/leases_test.go
+++ b/internal/serve/burdockhosted/leases_test.go
@@ -98,7 +98,7 @@
 
 // holder is one agent's leases, with a mirror that follows the store at once.
 type holder struct {
-	*leases
+	*leaseStore
 	store  *fakeKV
 	mirror *burdockkv.Mirror
 	clock  *burdockclock.Manual
@@ -108,8 +108,8 @@
 
 func newHolderAt(store *fakeKV, seat burdockrank.Assignment) *holder {
 	m, clock := burdockkv.NewMirror(), burdockclock.NewManual(1)
-	l := newLeases(store, m, clock.Clock(), func() burdockrank.Assignment { return seat }, zap.NewNop())
-	return &holder{leases: l, store: store, mirror: m, clock: clock}
+	l := newLeaseStore(store, m, clock.Clock(), func() burdockrank.Assignment { return seat }, zap.NewNop())
+	return &holder{leaseStore: l, store: store, mirror: m, clock: clock}
 }
 
 func (h *holder) acquire(name string) (burdockstore.Lease, error) {
--- a/internal/serve/burdockhosted/news_test.go
+++ b/internal/serve/burdockhosted/news_test.go
@@ -14,14 +14,14 @@
 	"go.uber.org/zap"
 )
 
-func newTestTeller(store *fakeKV) *teller {
-	return newTeller(store, burdockclock.Minute, true, zap.NewNop())
+func newTestTeller(store *fakeKV) *publisher {
+	return newPublisher(store, burdockclock.Minute, true, zap.NewNop())
 }
 
 // writeAll does what the teller's loop does.
-func (t *teller) writeAll() {
-	for next := t.take(); len(next) > 0; next = t.take() {
-		t.write(next)
+func (p *publisher) writeAll() {
+	for next := p.nextBatch(); len(next) > 0; next = p.nextBatch() {
+		p.write(next)
 	}
 }
 
@@ -30,15 +30,15 @@
 	store := newFakeKV()
 	told := newTestTeller(store)
 	var puts []burdockkv.Put
-	for i := range mostPuts + 1 {
-		puts = append(puts, burdockkv.Put{Key: fmt.Sprint(prefixNews, i)})
+	for i := range maxPutsPerWrite + 1 {
+		puts = append(puts, burdockkv.Put{Key: fmt.Sprint(prefixNotifications, i)})
 	}
-	told.tell(puts)
+	told.publish(puts)
 	told.writeAll()
 	if got, want := store.calls, 4; got != want { // a lease and a write, twice
 		t.Errorf("calls: got %d, want %d", got, want)
 	}
-	if got, want := len(store.items), mostPuts+1; got != want {
+	if got, want := len(store.items), maxPutsPerWrite+1; got != want {
 		t.Errorf("keys: got %d, want %d", got, want)
 	}
 }
@@ -48,7 +48,7 @@
 	store := newFakeKV()
 	store.loseWrite = true
 	told := newTestTeller(store)
-	told.tell([]burdockkv.Put{{Key: prefixNews + "a"}})
+	told.publish([]burdockkv.Put{{Key: prefixNotifications + "a"}})
 	told.writeAll()
 	if got, want := store.calls, 4; got != want {
 		t.Errorf("calls: got %d, want %d", got, want)
@@ -59,10 +59,10 @@
 // writer that stand for one.
 func TestCrashingRequestIsReadAsItWasTold(t *testing.T) {
 	store := newFakeKV()
-	e := &entry{log: zap.NewNop(), crashes: newTestTeller(store)}
+	e := &entry{log: zap.NewNop(), crashPublisher: newTestTeller(store)}
 	want := burdocksuspect.Crash{Request: burdocksuspect.DigestOf("POST", "/a", "acme", []byte("x")), Upstream: "u", At: 7}
-	e.tellCrashes([]burdocksuspect.Crash{want})
-	e.crashes.writeAll()
+	e.publishCrashes([]burdocksuspect.Crash{want})
+	e.crashPublisher.writeAll()
 	items, _, _ := store.List(context.Background(), prefixCrash)
 	items = append(items,
 		burdockkv.Item{Key: prefixCrash + "zz/u", Value: []byte(`{"atMillis":1}`)},
@@ -74,15 +74,15 @@
 
 // Guards against a doubt that is renewed by each other change under the prefix.
 func TestDoubtIsHandedOnOnce(t *testing.T) {
-	var d doubts
-	items := []burdockkv.Item{{Key: prefixDoubt + "a", Revision: 3}}
+	var d suspectedKeys
+	items := []burdockkv.Item{{Key: prefixSuspected + "a", Revision: 3}}
 	for i, want := range [][]burdockid.Upstream{{"a"}, nil} {
-		if got := d.news(items); !slices.Equal(got, want) {
+		if got := d.updated(items); !slices.Equal(got, want) {
 			t.Errorf("call %d: got %v, want %v", i, got, want)
 		}
 	}
 	items[0].Revision = 5
-	if got, want := d.news(items), []burdockid.Upstream{"a"}; !slices.Equal(got, want) {
+	if got, want := d.updated(items), []burdockid.Upstream{"a"}; !slices.Equal(got, want) {
 		t.Errorf("written again: got %v, want %v", got, want)
 	}
 }
@@ -90,7 +90,7 @@
 // Guards against entries that learn of a group's opening by refused offers alone.
 func TestControllerTellsTheOpenEpoch(t *testing.T) {
 	store := newFakeKV()
-	h := newHolderAt(store, burdockrank.Assignment{Group: "g" + epochMark + "7", Ranks: 1})
+	h := newHolderAt(store, burdockrank.Assignment{Group: "g" + epochSeparator + "7", Ranks: 1})
 	if _, err := h.acquire("a"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/serve/burdockhosted/schedule_test.go
+++ b/internal/serve/burdockhosted/schedule_test.go
@@ -231,7 +231,7 @@
 	for i := range ranks {
 		r := &fakeRank{group: s.fakeGroup, number: i}
 		s.ranks = append(s.ranks, r)
-		s.agents = append(s.agents, &agentModel{engine: &engine{rank: r, spec: spec, epoch: 1, speed: newOwnSpeed(zap.NewNop())}})
+		s.agents = append(s.agents, &agentModel{engine: &engine{rank: r, spec: spec, epoch: 1, speed: newEngineSpeed(zap.NewNop())}})
 		s.restart(i)
 	}
 	for _, r := range s.ranks {
@@ -249,7 +249,7 @@
 // start replaces a controller by a new one.
 func (s *schedule) start(c int) {
 	cfg := burdockgroup.DefaultControllerConfig(len(s.ranks))
-	pace(0).AdjustController(&cfg)
+	tuning(0).AdjustController(&cfg)
 	s.controllers[c], s.proxies[c] = burdockgroup.NewController(cfg), make([]*proxyModel, len(s.ranks))
 	s.asleep[c], s.believed[c] = false, burdockgroup.Lease{}
 }
@@ -357,7 +357,7 @@
 	if p == nil {
 		spec := func() *burdocksite.Engine { return &burdocksite.Engine{Layers: 1, Experts: 4, Places: 2} }
 		cfg := burdockgroup.DefaultRankConfig(order.To, len(s.ranks), burdockid.NewIncarnation())
-		p = &proxyModel{rank: burdockgroup.NewRank(cfg), engine: &engine{rank: s.far[i], spec: spec, epoch: 1, speed: newOwnSpeed(zap.NewNop())}}
+		p = &proxyModel{rank: burdockgroup.NewRank(cfg), engine: &engine{rank: s.far[i], spec: spec, epoch: 1, speed: newEngineSpeed(zap.NewNop())}}
 		s.proxies[controller][i] = p
 	}
 	s.doFar(p, controller, p.rank.Handle(s.now, burdockgroup.FenceFromStore{Fence: order.Number.Fence}))
--- a/internal/serve/burdockhosted/server.go
+++ b/internal/serve/burdockhosted/server.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// headerTimeout and idleTimeout are longer than any caller needs; callers
+	// headerTimeout and idleTimeout are longer than any caller needs, so that callers
 	// close first.
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 2 * time.Minute
-	// maxHeader is several times what the platform lets callers send.
+	// maxHeader is several times the size that the platform allows callers to send.
 	maxHeader = 64 << 10
 )
 
@@ -25,8 +25,8 @@
 	return &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader}
 }
 
-// adminHandler serves operators: the metrics, and at an entry the requests that ran
-// at upstreams which crashed.
+// adminHandler serves the metrics and, if suspects is not nil, the requests that were
+// running at upstreams when those crashed.
 func adminHandler(set *metrics.Set, suspects func() []burdocksuspect.CrashingRequest) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) { set.WritePrometheus(w) })
@@ -35,19 +35,19 @@
 	}
 	mux.HandleFunc("GET /suspects", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		// Who has gone needs no answer.
+		// If writing fails, the client has gone.
 		_ = json.NewEncoder(w).Encode(suspects())
 	})
 	return mux
 }
 
-// listening is a server and where it listens.
-type listening struct {
+// endpoint is a server and the address where it listens.
+type endpoint struct {
 	server  *http.Server
 	address string
 }
 
-func listenAll(log *zap.Logger, all ...listening) error {
+func listenAll(log *zap.Logger, all ...endpoint) error {
 	for _, l := range all {
 		listener, err := net.Listen("tcp", l.address)
 		if err != nil {
--- a/internal/serve/burdockhosted/speed_test.go
+++ b/internal/serve/burdockhosted/speed_test.go
@@ -20,11 +20,11 @@
 func TestSpeedThatCannotBeIsTakenForUsual(t *testing.T) {
 	for _, times := range []float64{0, -1, 1e12, math.NaN()} {
 		core, logs := observer.New(zapcore.WarnLevel)
-		own := newOwnSpeed(zap.New(core))
+		own := newEngineSpeed(zap.New(core))
 		for range 3 {
-			own.saw(slowdown(times))
+			own.observe(slowdown(times))
 		}
-		if got, want := own.now(), burdockspeed.Baseline; got != want {
+		if got, want := own.current(), burdockspeed.Baseline; got != want {
 			t.Errorf("slowdown %g: got speed %v, want %v", times, got, want)
 		}
 		if got, want := logs.Len(), 1; got != want {
@@ -34,9 +34,9 @@
 }
 
 func TestReportWithoutASpeedTellsNone(t *testing.T) {
-	own := newOwnSpeed(zap.NewNop())
-	own.saw(RankReport{})
-	if got := own.now(); got != 0 {
+	own := newEngineSpeed(zap.NewNop())
+	own.observe(RankReport{})
+	if got := own.current(); got != 0 {
 		t.Errorf("got %v, want 0", got)
 	}
 }
@@ -49,12 +49,12 @@
 // An engine turns slow and is sound again, and the lease of its record lapses in
 // between. Entries see it slow for as long as it is, and no longer.
 func TestSlowEngineIsAnnouncedWhileItIsSlow(t *testing.T) {
-	store, own := newFakeKV(), newOwnSpeed(zap.NewNop())
-	a := newAnnouncer(store, "10.0.0.1:80", own, zap.NewNop())
+	store, own := newFakeKV(), newEngineSpeed(zap.NewNop())
+	a := newSpeedPublisher(store, "10.0.0.1:80", own, zap.NewNop())
 	tell := func(times float64) map[string]burdockspeed.Speed {
 		t.Helper()
-		own.saw(slowdown(times))
-		if _, err := a.tell(); err != nil {
+		own.observe(slowdown(times))
+		if _, err := a.update(); err != nil {
 			t.Fatal(err)
 		}
 		return recordsOf(store)
@@ -70,7 +70,7 @@
 		t.Errorf("a change that is not notable: got %d calls more, want none", store.calls-calls)
 	}
 	store.lapse(a.lease)
-	if _, err := a.tell(); err == nil {
+	if _, err := a.update(); err == nil {
 		t.Error("renewing a lease that has ended: got no error")
 	}
 	if got, want := tell(2)["10.0.0.1:80"], burdockspeed.Speed(0.5); got != want {
@@ -87,9 +87,9 @@
 // An agent is stopped while its engine is slow. No record may be left that nobody
 // would take back.
 func TestStoppedAgentLeavesNoRecord(t *testing.T) {
-	store, own := newFakeKV(), newOwnSpeed(zap.NewNop())
-	own.saw(slowdown(3))
-	a := newAnnouncer(store, "10.0.0.1:80", own, zap.NewNop())
+	store, own := newFakeKV(), newEngineSpeed(zap.NewNop())
+	own.observe(slowdown(3))
+	a := newSpeedPublisher(store, "10.0.0.1:80", own, zap.NewNop())
 	a.start()
 	for deadline := time.Now().Add(10 * time.Second); len(own.changed) > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
--- a/internal/serve/burdockhosted/slow.go
+++ b/internal/serve/burdockhosted/speedrecords.go
@@ -8,14 +8,14 @@
 	"go.uber.org/zap"
 )
 
-// readSpeeds returns the speeds of the slow engines by address. A record that
-// can't be read tells of none.
+// readSpeeds returns the speeds of the slow engines by address. It logs and skips records
+// that are invalid.
 func readSpeeds(items []burdockkv.Item, log *zap.Logger) map[string]burdockspeed.Speed {
 	speeds := map[string]burdockspeed.Speed{}
 	for _, item := range items {
 		var rec speedRecord
 		if err := json.Unmarshal(item.Value, &rec); err != nil {
-			log.Warn("a record of a slow engine can't be read", zap.String("key", item.Key), zap.Error(err))
+			log.Warn("skipping unreadable speed record", zap.String("key", item.Key), zap.Error(err))
 			continue
 		}
 		speed, known := burdockspeed.FromSlowdown(1 / float64(rec.Speed))
