--- a/internal/group/burdockgroup/example_test.go
+++ b/internal/group/burdockgroup/example_test.go
@@ -6,7 +6,7 @@
 	"burdockbend.example/burdockbend/internal/group/burdockgroup"
 )
 
-// An agent gives its rank what happens and does what the rank returns.
+// An agent passes events to its rank and carries out the outputs.
 func ExampleRank_Handle() {
 	rank := burdockgroup.NewRank(burdockgroup.DefaultRankConfig(0, 2, "a"))
 	show := func(outs []burdockgroup.RankOutput) {
@@ -30,7 +30,7 @@
 	// burdockgroup.SendReport in phase armed
 }
 
-// A controller that gets the group's lease reads every rank first.
+// A controller that acquires the group's lease first reads every rank.
 func ExampleController_Handle() {
 	controller := burdockgroup.NewController(burdockgroup.DefaultControllerConfig(2))
 	lease := burdockgroup.Lease{Fence: 7, Until: 5000}
--- a/internal/group/burdockgroup/export_test.go
+++ b/internal/group/burdockgroup/export_test.go
@@ -1,8 +1,8 @@
 package burdockgroup
 
-// ForgetNumbers has the rank take n, however old, so that a test can show what
-// the check of numbers prevents.
-func (r *Rank) ForgetNumbers(n Number) {
+// ResetHighest makes the rank accept n, however old it is, so that a test can show what
+// the check of order numbers prevents.
+func (r *Rank) ResetHighest(n Number) {
 	n.Seq--
 	r.highest = n
 }
--- a/internal/group/burdockgroup/machine_test.go
+++ b/internal/group/burdockgroup/machine_test.go
@@ -13,8 +13,8 @@
 	return NewRank(RankConfig{Rank: 0, Ranks: 3, Incarnation: "a", Retry: 20, NotifyDelay: 40})
 }
 
-// answer gives the rank its engine's answer to the order in outs.
-func answer(r *Rank, outs []RankOutput, s EngineStatus) []RankOutput {
+// answerEngineOrder passes the engine's answer to the order in outs to the rank.
+func answerEngineOrder(r *Rank, outs []RankOutput, s EngineStatus) []RankOutput {
 	for _, out := range outs {
 		if order, ok := out.(OrderEngine); ok {
 			return r.Handle(2, EngineAnswered{Ticket: order.Ticket, Status: s})
@@ -23,49 +23,49 @@
 	return nil
 }
 
-func reportIn(t *testing.T, outs []RankOutput) Report {
+func reportOf(t *testing.T, outs []RankOutput) Report {
 	t.Helper()
 	for _, out := range outs {
 		if sent, ok := out.(SendReport); ok {
 			return sent.Report
 		}
 	}
-	t.Fatalf("no report in %v", outs)
+	t.Fatalf("no report in outputs %v", outs)
 	return Report{}
 }
 
-// A new agent hears only of an old controller from the one peer that answers
-// first. It must go on asking: the other peer may have seen a newer controller.
-// And peers that are as new as itself know nothing.
-func TestNewAgentHearsAllPeers(t *testing.T) {
+// The one peer that answers a new agent first knows only an old controller. The agent
+// must wait for the other peer, which may have seen a newer one. Peers that are as new as
+// the agent know nothing.
+func TestNewAgentWaitsForAllPeers(t *testing.T) {
 	r := newTestRank()
 	r.Handle(1, FenceAnswered{From: 1, Fence: 4, Known: true})
 	if got := r.State().Phase; got != RankLearning {
-		t.Errorf("after one peer of two: %s, want %s", got, RankLearning)
+		t.Errorf("after one of two peers: got %s, want %s", got, RankLearning)
 	}
 	r.Handle(1, FenceAnswered{From: 2, Fence: 7, Known: true})
 	if got := r.State(); got.Phase != RankOrdering || got.Highest.Fence != 7 {
-		t.Errorf("after both: %s with fence %d, want %s with 7", got.Phase, got.Highest.Fence, RankOrdering)
+		t.Errorf("after both peers: got %s with fence %d, want %s with 7", got.Phase, got.Highest.Fence, RankOrdering)
 	}
 	r = newTestRank()
 	r.Handle(1, FenceAnswered{From: 1})
 	r.Handle(1, FenceAnswered{From: 2})
 	if got := r.State().Phase; got != RankLearning {
-		t.Errorf("after two peers that know nothing: %s, want %s", got, RankLearning)
+		t.Errorf("after two peers that know no number: got %s, want %s", got, RankLearning)
 	}
 }
 
-// The report of an order is lost, so the controller sends the order again. The
-// rank must not carry it out twice: an arm after an abort would hold the group.
+// The report of an order is lost, so the controller sends the order again. The rank must
+// not carry it out twice: an arm after an abort would hold the group.
 func TestRepeatedOrderOnlyReports(t *testing.T) {
 	r := newTestRank()
 	running := EngineStatus{Next: 5, Base: 1, Spare: 2}
-	answer(r, r.Handle(1, FenceFromStore{Fence: 3}), running)
+	answerEngineOrder(r, r.Handle(1, FenceFromStore{Fence: 3}), running)
 	arm := Order{Number: Number{3, 1}, Incarnation: "a", Body: Arm{Map: 2, At: 9}}
-	answer(r, r.Handle(1, OrderReceived{arm}), running)
+	answerEngineOrder(r, r.Handle(1, OrderReceived{arm}), running)
 	for _, out := range r.Handle(3, OrderReceived{arm}) {
 		if order, ok := out.(OrderEngine); ok && order.Order != (ReadStatus{}) {
-			t.Errorf("repeated arm orders the engine: %+v", order.Order)
+			t.Errorf("repeated arm sent an order to the engine: %+v", order.Order)
 		}
 	}
 }
@@ -90,34 +90,34 @@
 	}
 	for _, c := range cases {
 		r := newTestRank()
-		if got := reportIn(t, r.Handle(1, OrderReceived{c.order})).Refusal; got != RefusalLearning {
+		if got := reportOf(t, r.Handle(1, OrderReceived{c.order})).Refusal; got != RefusalLearning {
 			t.Errorf("%s, while learning: got %q, want %q", c.name, got, RefusalLearning)
 		}
-		answer(r, r.Handle(1, FenceFromStore{Fence: 3}), c.status)
-		if got := reportIn(t, r.Handle(2, OrderReceived{c.order})).Refusal; got != c.want {
+		answerEngineOrder(r, r.Handle(1, FenceFromStore{Fence: 3}), c.status)
+		if got := reportOf(t, r.Handle(2, OrderReceived{c.order})).Refusal; got != c.want {
 			t.Errorf("%s: got %q, want %q", c.name, got, c.want)
 		}
 	}
 }
 
-// A controller's VM is suspended and wakes after its lease has lapsed. Another
-// one may hold the lease by now, so the first must send nothing, though no one
-// has told it: it looks at a clock that went on while it slept.
-func TestControllerWokenPastItsLeaseSendsNothing(t *testing.T) {
+// A controller's VM is suspended and resumes after its lease has expired. Another
+// controller may hold the lease by then, so the first must send nothing, although it has
+// not been notified. It checks a clock that counts while the VM is suspended.
+func TestControllerResumedAfterLeaseExpirySendsNothing(t *testing.T) {
 	c := NewController(ControllerConfig{Ranks: 2, Retry: 20, Poll: 200})
 	if outs := c.Handle(1, LeaseHeld{Lease{Fence: 1, Until: 100}}); len(outs) != 2 {
-		t.Fatalf("got %d outputs, want a read for each rank", len(outs))
+		t.Fatalf("after the lease was acquired: got %d outputs, want a read for each rank", len(outs))
 	}
 	for _, out := range c.Handle(100, ControllerTick{}) {
 		if down, ok := out.(SteppedDown); !ok || down.Reason != StepDownLapsed {
-			t.Errorf("woken past the lease: got %+v, want only %s", out, StepDownLapsed)
+			t.Errorf("after the lease has expired: got %+v, want only %s", out, StepDownLapsed)
 		}
 	}
 }
 
-// A controller hears from a rank that a newer controller exists. Its own lease
-// seems good, because the store gave it away while an answer was lost.
-func TestControllerStepsDownForANewerOne(t *testing.T) {
+// A rank's report shows that a newer controller exists. The older controller's own lease
+// still looks valid, because the store granted it to another while an answer was lost.
+func TestControllerStepsDownForNewerOne(t *testing.T) {
 	c := NewController(ControllerConfig{Ranks: 2, Retry: 20, Poll: 200})
 	c.Handle(1, LeaseHeld{Lease{Fence: 1, Until: 100}})
 	c.Handle(2, ReportReceived{Report{From: 0, HighestFence: 2, Refusal: RefusalOldNumber}})
@@ -126,19 +126,19 @@
 	}
 }
 
-// garble makes inputs out of bytes, most of which no sound peer would send.
-type garble struct {
+// garbledInput creates inputs from bytes, most of which no correct peer would send.
+type garbledInput struct {
 	now     burdockclock.Millis
 	a, b, d byte
 }
 
-func (g garble) number() Number {
+func (g garbledInput) number() Number {
 	return Number{Fence: burdockid.Fence(g.a % 4), Seq: uint64(g.b)}
 }
 
-func (g garble) rank() burdockid.Rank { return burdockid.Rank(int8(g.a)) }
+func (g garbledInput) rank() burdockid.Rank { return burdockid.Rank(int8(g.a)) }
 
-func (g garble) status() EngineStatus {
+func (g garbledInput) status() EngineStatus {
 	return EngineStatus{
 		Next:   burdockid.Step(g.a),
 		Base:   burdockid.MapVersion(g.b % 3),
@@ -149,7 +149,7 @@
 	}
 }
 
-func (g garble) body() OrderBody {
+func (g garbledInput) body() OrderBody {
 	bodies := []OrderBody{
 		nil, Read{Want: 1}, Load{Map: 1, Content: []byte("x")}, Load{}, Arm{Map: 1, At: 3},
 		Commit{Map: 1, At: 3}, Release{At: 3}, Abort{}, Begin{Map: 1}, Withdraw{At: 3},
@@ -157,7 +157,7 @@
 	return bodies[int(g.d)%len(bodies)]
 }
 
-func (g garble) rankInput(kind byte) RankInput {
+func (g garbledInput) rankInput(kind byte) RankInput {
 	inputs := []RankInput{
 		nil,
 		RankTick{},
@@ -172,7 +172,7 @@
 	return inputs[int(kind)%len(inputs)]
 }
 
-func (g garble) controllerInput(kind byte) ControllerInput {
+func (g garbledInput) controllerInput(kind byte) ControllerInput {
 	inputs := []ControllerInput{
 		nil,
 		ControllerTick{},
@@ -186,8 +186,9 @@
 	return inputs[int(kind)%len(inputs)]
 }
 
-// FuzzMachines gives both machines garbled inputs. They may refuse them, and must
-// neither panic nor order an engine before they know the highest fencing number.
+// FuzzMachines passes garbled inputs to both state machines. They may refuse them, but
+// must neither panic nor send orders other than ReadStatus to an engine before they know
+// the highest fencing number.
 func FuzzMachines(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13})
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -195,11 +196,11 @@
 		r := newTestRank()
 		c := NewController(ControllerConfig{Ranks: 2, Retry: 1, Poll: 1, MaxSwitchLead: 4})
 		for i := 0; i+size <= len(data); i += size {
-			g := garble{now: burdockclock.Millis(i), a: data[i+1], b: data[i+2], d: data[i+3]}
+			g := garbledInput{now: burdockclock.Millis(i), a: data[i+1], b: data[i+2], d: data[i+3]}
 			learning := r.State().Phase == RankLearning
 			for _, out := range r.Handle(g.now, g.rankInput(data[i])) {
 				if order, ok := out.(OrderEngine); ok && learning && order.Order != (ReadStatus{}) {
-					t.Errorf("ordered the engine while learning: %+v", order)
+					t.Errorf("sent an order to the engine while learning: %+v", order)
 				}
 			}
 			c.Handle(g.now, g.controllerInput(data[i]))
@@ -229,9 +230,9 @@
 		{"one committed", []EngineStatus{armed, committed}, verdictDecided},
 		{"one committed, one empty", []EngineStatus{empty, committed}, verdictDecided},
 		{"some released", []EngineStatus{released, committed}, verdictDecided},
-		{"some passed", []EngineStatus{passed, committed}, verdictDecided},
-		{"all released or passed", []EngineStatus{released, passed}, verdictSettled},
-		{"all passed, one empty", []EngineStatus{passed, empty}, verdictUndone},
+		{"some past the step", []EngineStatus{passed, committed}, verdictDecided},
+		{"all released or past the step", []EngineStatus{released, passed}, verdictSettled},
+		{"all past the step, one empty", []EngineStatus{passed, empty}, verdictUndone},
 		{"one ran on with the old map", []EngineStatus{late, committed}, verdictSplit},
 		{"two maps", []EngineStatus{late, passed}, verdictSplit},
 	}
@@ -242,7 +243,7 @@
 	}
 }
 
-func TestCheckerSeesASplit(t *testing.T) {
+func TestCheckerDetectsSplit(t *testing.T) {
 	var c Checker
 	if split := c.Observe(0, 7, 1); split != nil {
 		t.Errorf("first rank: got %v", split)
@@ -258,13 +259,13 @@
 		t.Errorf("later step: got %v", split)
 	}
 	if split := c.Observe(0, 7, 3); split != nil {
-		t.Errorf("forgotten step: got %v", split)
+		t.Errorf("step outside the window: got %v", split)
 	}
 }
 
 func TestStateDump(t *testing.T) {
 	r := newTestRank()
-	answer(r, r.Handle(1, FenceFromStore{Fence: 3}), EngineStatus{Next: 5, Base: 1})
+	answerEngineOrder(r, r.Handle(1, FenceFromStore{Fence: 3}), EngineStatus{Next: 5, Base: 1})
 	r.Handle(3, OrderReceived{Order{Number: Number{3, 1}, Incarnation: "a", Body: Abort{}}})
 	c := NewController(ControllerConfig{Ranks: 1, Retry: 20, Poll: 200})
 	c.Handle(1, LeaseHeld{Lease{Fence: 1, Until: 100}})
--- a/internal/group/burdockgroup/schedule_test.go
+++ b/internal/group/burdockgroup/schedule_test.go
@@ -11,13 +11,14 @@
 )
 
 // A longer run of the random schedules, with other seeds:
-// go test -run RandomSchedules ./internal/group/burdockgroup -seeds 100000 -firstSeed 1000000
+//
+//	go test -run RandomSchedules ./internal/group/burdockgroup -seeds 100000 -firstSeed 1000000
 var (
 	seeds     = flag.Int("seeds", 3000, "random schedules to run")
 	firstSeed = flag.Uint64("firstSeed", 0, "seed of the first random schedule")
 )
 
-// trialConfig is a small group with short steps and quick loads.
+// trialConfig returns a small group with short steps and quick loads.
 func trialConfig(seed uint64) burdockgrouplab.Config {
 	return burdockgrouplab.Config{
 		Ranks:       2 + int(seed%3),
@@ -35,8 +36,8 @@
 	}
 }
 
-// wideConfig varies the group's size, its controllers and the network.
-func wideConfig(seed uint64) burdockgrouplab.Config {
+// variedConfig varies the group's size, its controllers and the network.
+func variedConfig(seed uint64) burdockgrouplab.Config {
 	cfg := trialConfig(seed)
 	cfg.Ranks = 1 + int(seed%6)
 	cfg.Controllers = 1 + int(seed/7%3)
@@ -52,8 +53,8 @@
 	return cfg
 }
 
-// count has the hooks of a world count what its schedule reaches.
-func count(cfg *burdockgrouplab.Config, reached map[string]int) {
+// countReached makes the hooks of a simulation count what its schedule reaches.
+func countReached(cfg *burdockgrouplab.Config, reached map[string]int) {
 	cfg.Hooks.Order = func(_ *burdockgroup.Rank, o burdockgroup.Order) burdockgroup.Order {
 		reached[fmt.Sprintf("%T", o.Body)]++
 		if commit, ok := o.Body.(burdockgroup.Commit); ok && fenceOf(commit.Map) < o.Number.Fence {
@@ -67,20 +68,20 @@
 	}
 }
 
-// mustReach is what the schedules have to come to, so that their quiet means
-// something.
-var mustReach = []string{
+// requiredCoverage lists what the schedules together must reach; otherwise a run without
+// failures would mean little.
+var requiredCoverage = []string{
 	"burdockgroup.Read", "burdockgroup.Load", "burdockgroup.Arm", "burdockgroup.Commit",
 	"burdockgroup.Release", "burdockgroup.Abort", "burdockgroup.Begin",
 	"commit by a successor",
 	"refusal learning", "refusal busy", "refusal oldNumber", "refusal wrongIncarnation",
 }
 
-// What the caller sees if this fails: an answer computed by experts of two
-// different maps, or a group that never answers again. Controllers are killed,
-// frozen and woken past their lease, agents and engines are replaced, the store
-// goes out, and messages come late, twice, crossed or never, at random points.
-func TestRandomSchedulesNeverSplitNorStick(t *testing.T) {
+// Guards against answers computed by experts of two different maps and against a group
+// that never answers again. At random points, controllers are killed, or frozen and
+// resumed after their lease has expired, agents and engines are replaced, the store is
+// unavailable, and messages arrive late, twice, out of order or never.
+func TestRandomSchedulesNeverSplitOrStall(t *testing.T) {
 	const shards = 4
 	var mu sync.Mutex
 	all := map[string]int{}
@@ -91,8 +92,8 @@
 				reached := map[string]int{}
 				for i := shard; i < *seeds; i += shards {
 					seed := *firstSeed + uint64(i)
-					cfg := wideConfig(seed)
-					count(&cfg, reached)
+					cfg := variedConfig(seed)
+					countReached(&cfg, reached)
 					if failures := burdockgrouplab.NewWorld(cfg).Trial(); len(failures) > 0 {
 						t.Errorf("seed %d: %v", seed, failures)
 						return
@@ -100,13 +101,13 @@
 				}
 				mu.Lock()
 				defer mu.Unlock()
-				for _, what := range mustReach {
+				for _, what := range requiredCoverage {
 					all[what] += reached[what]
 				}
 			})
 		}
 	})
-	for _, what := range mustReach {
+	for _, what := range requiredCoverage {
 		if all[what] == 0 {
 			t.Errorf("no schedule reached %s", what)
 		}
--- a/internal/group/burdockgroup/paced_test.go
+++ b/internal/group/burdockgroup/simgroup_test.go
@@ -7,68 +7,68 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// pacedGroup is a group of engines in lock-step that carry out and answer each
-// order some time after it was sent. Time is counted in milliseconds.
-type pacedGroup struct {
-	c       *Controller
-	now     burdockclock.Millis
-	answer  burdockclock.Millis // from an order to its report
-	step    burdockclock.Millis // length of a step
-	endsAt  burdockclock.Millis // of the step that runs
-	engines []EngineStatus
-	highest []burdockid.MapVersion // by rank: that was ever loaded
-	kept    burdockid.MapVersion   // whose content rank 0's agent has; 0 for none
-	orders  []pacedOrder
-	inForce burdockid.MapVersion
+// simGroup simulates a group of engines in lock-step that carry out and answer each order
+// answerDelay after it was sent. Time is counted in milliseconds.
+type simGroup struct {
+	c           *Controller
+	now         burdockclock.Millis
+	answerDelay burdockclock.Millis // from an order to its report
+	stepTime    burdockclock.Millis // duration of a step
+	stepEndsAt  burdockclock.Millis // end of the current step
+	engines     []EngineStatus
+	highest     []burdockid.MapVersion // by rank: highest version ever loaded
+	kept        burdockid.MapVersion   // map whose content rank 0's agent has; 0 for none
+	orders      []simOrder
+	inForce     burdockid.MapVersion
 }
 
-type pacedOrder struct {
+type simOrder struct {
 	order Order
 	at    burdockclock.Millis
 }
 
-func newPacedGroup(ranks int) *pacedGroup {
-	g := &pacedGroup{answer: 10, step: 100, c: NewController(ControllerConfig{
+func newSimGroup(ranks int) *simGroup {
+	g := &simGroup{answerDelay: 10, stepTime: 100, c: NewController(ControllerConfig{
 		Ranks: ranks, Retry: burdockclock.Minute, Poll: 10, SwitchPoll: 10, LoadPoll: 10, SwitchLead: 1, MaxSwitchLead: 8, MinimizeLead: true,
 	})}
 	for range ranks {
 		g.engines = append(g.engines, EngineStatus{Next: 1, Base: 1})
 		g.highest = append(g.highest, 1)
 	}
-	g.take(g.c.Handle(0, LeaseHeld{Lease{Fence: 1, Until: burdockclock.Hour}}))
+	g.handleOutputs(g.c.Handle(0, LeaseHeld{Lease{Fence: 1, Until: burdockclock.Hour}}))
 	return g
 }
 
-func (g *pacedGroup) take(outs []ControllerOutput) {
+func (g *simGroup) handleOutputs(outs []ControllerOutput) {
 	for _, out := range outs {
 		switch out := out.(type) {
 		case SendOrder:
-			g.orders = append(g.orders, pacedOrder{out.Order, g.now + g.answer})
+			g.orders = append(g.orders, simOrder{out.Order, g.now + g.answerDelay})
 		case MapInForce:
 			g.inForce = out.Map
 		}
 	}
 }
 
-// pass lets a millisecond pass.
-func (g *pacedGroup) pass() {
+// tick advances the time by a millisecond.
+func (g *simGroup) tick() {
 	g.now++
 	for len(g.orders) > 0 && g.orders[0].at <= g.now {
 		o := g.orders[0].order
 		g.orders = g.orders[1:]
 		g.apply(o.To, o.Body)
-		g.take(g.c.Handle(g.now, ReportReceived{g.report(o)}))
+		g.handleOutputs(g.c.Handle(g.now, ReportReceived{g.report(o)}))
 	}
-	if g.now >= g.endsAt && !g.held() {
-		g.endsAt = g.now + g.step
+	if g.now >= g.stepEndsAt && !g.held() {
+		g.stepEndsAt = g.now + g.stepTime
 		for i := range g.engines {
-			g.begin(&g.engines[i])
+			g.beginStep(&g.engines[i])
 		}
 	}
-	g.take(g.c.Handle(g.now, ControllerTick{}))
+	g.handleOutputs(g.c.Handle(g.now, ControllerTick{}))
 }
 
-func (g *pacedGroup) report(o Order) Report {
+func (g *simGroup) report(o Order) Report {
 	r := Report{Number: o.Number, From: o.To, Incarnation: "a", HighestFence: 1, Status: g.engines[o.To]}
 	if o.To != 0 || g.kept == 0 {
 		return r
@@ -80,7 +80,7 @@
 	return r
 }
 
-func (g *pacedGroup) held() bool {
+func (g *simGroup) held() bool {
 	for _, e := range g.engines {
 		if e.Held && e.HoldAt == e.Next {
 			return true
@@ -89,7 +89,7 @@
 	return false
 }
 
-func (*pacedGroup) begin(e *EngineStatus) {
+func (*simGroup) beginStep(e *EngineStatus) {
 	if e.Switch.Map != 0 && e.Switch.At == e.Next {
 		e.Base, e.Switch = e.Switch.Map, Switch{}
 	}
@@ -97,13 +97,13 @@
 	e.Next++
 }
 
-func (g *pacedGroup) apply(to burdockid.Rank, body OrderBody) {
+func (g *simGroup) apply(to burdockid.Rank, body OrderBody) {
 	e := &g.engines[to]
 	switch o := body.(type) {
 	case Load:
 		switch {
 		case o.Map <= g.highest[to]:
-			e.Failed = o.Map // the engine has had a higher version
+			e.Failed = o.Map // the engine has had this version or a higher one
 		default:
 			e.Spare, g.highest[to] = o.Map, o.Map
 		}
@@ -121,15 +121,15 @@
 }
 
 // change brings another map into force and returns how long that took.
-func (g *pacedGroup) change(t *testing.T, content string) burdockclock.Millis {
+func (g *simGroup) change(t *testing.T, content string) burdockclock.Millis {
 	t.Helper()
 	before, began := g.inForce, g.now
-	g.take(g.c.Handle(g.now, MapWanted{Content: []byte(content)}))
+	g.handleOutputs(g.c.Handle(g.now, MapWanted{Content: []byte(content)}))
 	for g.inForce == before {
 		if g.now > began+burdockclock.Minute {
 			t.Fatal("the map did not come into force")
 		}
-		g.pass()
+		g.tick()
 	}
 	return g.now - began
 }
--- a/internal/group/burdockgroup/stuck_test.go
+++ b/internal/group/burdockgroup/stuck_test.go
@@ -13,10 +13,10 @@
 	stuckAt  burdockid.Step       = 5
 )
 
-// newStuckGroup returns a group in which two ranks have committed and the third
-// has a newer map loaded in place of theirs. Its engine takes no lower version.
-func newStuckGroup() *pacedGroup {
-	g := newPacedGroup(3)
+// newStuckGroup returns a group in which two ranks have committed and the third has a
+// newer map loaded in place of theirs. Its engine accepts no lower version.
+func newStuckGroup() *simGroup {
+	g := newSimGroup(3)
 	for i := range g.engines {
 		g.engines[i] = EngineStatus{
 			Next: stuckAt, Base: 1, LastStep: stuckAt - 1, LastMap: 1, Held: true, HoldAt: stuckAt,
@@ -27,50 +27,51 @@
 	return g
 }
 
-// No request of the group is answered again. A controller dies after some ranks
-// have committed; another has one rank load a newer map in place of theirs. That
-// rank can't load the older one again, and the others wait for it before the
-// step of the change. Since none was let go, the commits can be taken back.
-func TestCommitsThatCannotGoForwardAreTakenBack(t *testing.T) {
+// A controller dies after some ranks have committed, and another has one rank load a
+// newer map in place of theirs. That rank cannot load the older map again, and the others
+// wait for it before the switch step, so no request of the group is answered again. No
+// rank has been released, so the commits can be withdrawn.
+func TestStuckCommitsAreWithdrawn(t *testing.T) {
 	g := newStuckGroup()
 	g.kept = stuckMap
-	g.checkGoesOn(t)
+	g.checkRecovers(t)
 }
 
-// The same, and all agents were killed meanwhile, so that nobody has the content
-// of the map that two ranks have committed to.
-func TestCommitsToALostMapAreTakenBack(t *testing.T) { newStuckGroup().checkGoesOn(t) }
+// As above, but all agents were killed meanwhile, so the content of the map that two
+// ranks have committed to is lost.
+func TestCommitsToLostMapAreWithdrawn(t *testing.T) { newStuckGroup().checkRecovers(t) }
 
-func (g *pacedGroup) checkGoesOn(t *testing.T) {
+func (g *simGroup) checkRecovers(t *testing.T) {
 	t.Helper()
 	for g.now < 2*burdockclock.Second {
-		g.pass()
+		g.tick()
 	}
 	for i, e := range g.engines {
 		if e.Held || e.Switch.Map != 0 || e.Base != 1 {
-			t.Errorf("rank %d: got %+v, want it to run on with map 1", i, e)
+			t.Errorf("rank %d: got %+v, want it running with map 1", i, e)
 		}
 	}
 	if got := g.engines[0].Next; got <= stuckAt {
 		t.Errorf("next step after two seconds: got %d, want more than %d", got, stuckAt)
 	}
 	before := g.inForce
-	g.take(g.c.Handle(g.now, MapWanted{Content: []byte("another")}))
+	g.handleOutputs(g.c.Handle(g.now, MapWanted{Content: []byte("another")}))
 	for g.now < 4*burdockclock.Second {
-		g.pass()
+		g.tick()
 	}
 	if g.inForce == before {
-		t.Errorf("map in force after another was wanted: got %d still", before)
+		t.Errorf("map in force after another was wanted: still %d", before)
 	}
 }
 
-// One of the ranks that committed was let go already, so it may begin the step.
-// Then the others must not be taken back: they would run it with another map.
-func TestCommitsAreNotTakenBackOnceARankWasLetGo(t *testing.T) {
+// One of the committed ranks has already been released, so it may begin the switch step.
+// The commits of the others must stay, otherwise they would run that step with another
+// map.
+func TestCommitsStayOnceRankIsReleased(t *testing.T) {
 	g := newStuckGroup()
 	g.engines[0].Held = false
 	for g.now < 2*burdockclock.Second {
-		g.pass()
+		g.tick()
 	}
 	if got, want := g.engines[1].Switch, (Switch{Map: stuckMap, At: stuckAt}); got != want {
 		t.Errorf("rank 1's switch: got %+v, want %+v", got, want)
--- a/internal/group/burdockgroup/variant_test.go
+++ b/internal/group/burdockgroup/variant_test.go
@@ -12,8 +12,8 @@
 
 func withoutHold(cfg *burdockgrouplab.Config) { cfg.EngineDeaf = true }
 
-// withoutCommitRound has every rank but the first say that it committed before
-// it did, and commit when it is told to run on: the protocol with one "go".
+// withoutCommitRound makes every rank but the first report a commit before it happens and
+// commit only when it is released: a protocol with a single "go".
 func withoutCommitRound(cfg *burdockgrouplab.Config) {
 	claimed := map[burdockgroup.Number]burdockgroup.Commit{}
 	cfg.Hooks.Order = func(_ *burdockgroup.Rank, o burdockgroup.Order) burdockgroup.Order {
@@ -31,7 +31,7 @@
 	}
 }
 
-// withoutAllArmed has the last rank say that it is armed when it is not.
+// withoutAllArmed makes the last rank report that it is armed when it is not.
 func withoutAllArmed(cfg *burdockgrouplab.Config) {
 	last := burdockid.Rank(cfg.Ranks - 1)
 	claimed := map[burdockgroup.Number]burdockgroup.Arm{}
@@ -50,14 +50,14 @@
 	}
 }
 
-// Each variant lacks one safeguard. If the checker saw nothing in any of them,
-// the quiet of TestRandomSchedulesNeverSplitNorStick would prove nothing.
-func TestWithoutSafeguardTheCheckerSeesIt(t *testing.T) {
+// Each variant lacks one safeguard. If the checker detected nothing in any of them, the
+// success of TestRandomSchedulesNeverSplitOrStall would prove nothing.
+func TestCheckerDetectsMissingSafeguard(t *testing.T) {
 	const split = "used map"
 	const seeds = 3000
 	variants := []struct {
-		name  string
-		spoil func(*burdockgrouplab.Config)
+		name   string
+		weaken func(*burdockgrouplab.Config)
 	}{
 		{"hold", withoutHold},
 		{"commit round", withoutCommitRound},
@@ -68,22 +68,23 @@
 			t.Parallel()
 			for seed := range seeds {
 				cfg := trialConfig(uint64(seed))
-				v.spoil(&cfg)
+				v.weaken(&cfg)
 				failures := burdockgrouplab.NewWorld(cfg).Trial()
 				if len(failures) > 0 && strings.Contains(failures[0], split) {
 					t.Logf("seed %d: %.120s", seed, failures[0])
 					return
 				}
 			}
-			t.Errorf("nothing was seen in %d seeds", seeds)
+			t.Errorf("no split detected in %d seeds", seeds)
 		})
 	}
 }
 
-// A controller's clock stands still while its VM is suspended, so it believes in
-// its lease for ever. Its orders go out beside its successor's. The numbers that
-// the ranks keep are enough: the second controller's reading voids them.
-func TestNumbersAreEnoughWithoutTheLeaseCheck(t *testing.T) {
+// A controller's clock stops while its VM is suspended, so it believes forever that it
+// holds its lease, and its orders are sent beside its successor's. The order numbers that
+// the ranks keep are enough: the second controller's reading voids the first one's
+// orders.
+func TestOrderNumbersSufficeWithoutLeaseCheck(t *testing.T) {
 	const seeds = 1000
 	const never burdockclock.Millis = 1 << 40
 	for seed := range seeds {
