--- a/internal/serve/burdockhosted/agent_test.go
+++ b/internal/serve/burdockhosted/agent_test.go
@@ -8,55 +8,55 @@
 	"burdockbend.example/burdockbend/internal/group/burdockgroup"
 )
 
-// slowGroup is a group whose ranks all answer an order some time after it was
-// sent, and whose steps last for pass.
-type slowGroup struct {
+// delayedGroup is a group whose ranks all answer an order after roundDelay, and whose
+// steps take stepTime.
+type delayedGroup struct {
 	controller *burdockgroup.Controller
 	now        burdockclock.Millis
-	round      burdockclock.Millis
-	pass       burdockclock.Millis
+	roundDelay burdockclock.Millis
+	stepTime   burdockclock.Millis
 	ranks      []burdockgroup.EngineStatus
-	orders     []slowOrder
-	lead       burdockid.Step // of the latest change: steps from the next one to its own
-	changes    int
+	orders     []delayedOrder
+	lastLead   burdockid.Step // of the latest change: number of steps from the next one to the switch
+	completed  int
 }
 
-type slowOrder struct {
+type delayedOrder struct {
 	order burdockgroup.Order
-	at    burdockclock.Millis
+	dueAt burdockclock.Millis
 }
 
-func newSlowGroup(ranks int, round, pass burdockclock.Millis) *slowGroup {
+func newDelayedGroup(ranks int, roundDelay, stepTime burdockclock.Millis) *delayedGroup {
 	cfg := burdockgroup.DefaultControllerConfig(ranks)
 	tuning(0).AdjustController(&cfg)
-	g := &slowGroup{controller: burdockgroup.NewController(cfg), round: round, pass: pass}
+	g := &delayedGroup{controller: burdockgroup.NewController(cfg), roundDelay: roundDelay, stepTime: stepTime}
 	for range ranks {
 		g.ranks = append(g.ranks, burdockgroup.EngineStatus{Next: 1, Base: initialMap})
 	}
-	g.tell(burdockgroup.LeaseHeld{Lease: burdockgroup.Lease{Fence: 1, Until: burdockclock.Hour}})
+	g.handle(burdockgroup.LeaseHeld{Lease: burdockgroup.Lease{Fence: 1, Until: burdockclock.Hour}})
 	return g
 }
 
-func (g *slowGroup) tell(in burdockgroup.ControllerInput) {
+func (g *delayedGroup) handle(in burdockgroup.ControllerInput) {
 	for _, out := range g.controller.Handle(g.now, in) {
 		switch out := out.(type) {
 		case burdockgroup.SendOrder:
-			g.orders = append(g.orders, slowOrder{out.Order, g.now + g.round})
+			g.orders = append(g.orders, delayedOrder{out.Order, g.now + g.roundDelay})
 			if arm, ok := out.Order.Body.(burdockgroup.Arm); ok {
-				g.lead = arm.At - g.next()
+				g.lastLead = arm.At - g.next()
 			}
 		case burdockgroup.MapInForce:
-			g.changes++
+			g.completed++
 		}
 	}
 }
 
-func (g *slowGroup) next() burdockid.Step { return g.ranks[0].Next }
+func (g *delayedGroup) next() burdockid.Step { return g.ranks[0].Next }
 
-// millisecond lets time pass.
-func (g *slowGroup) millisecond() {
+// advance simulates one millisecond.
+func (g *delayedGroup) advance() {
 	g.now++
-	for len(g.orders) > 0 && g.orders[0].at <= g.now {
+	for len(g.orders) > 0 && g.orders[0].dueAt <= g.now {
 		o := g.orders[0].order
 		g.orders = g.orders[1:]
 		g.apply(&g.ranks[o.To], o.Body)
@@ -66,15 +66,15 @@
 		if read, ok := o.Body.(burdockgroup.Read); ok && read.Want != 0 {
 			report.Content = []byte{0}
 		}
-		g.tell(burdockgroup.ReportReceived{Report: report})
+		g.handle(burdockgroup.ReportReceived{Report: report})
 	}
-	if g.now%g.pass == 0 {
+	if g.now%g.stepTime == 0 {
 		g.step()
 	}
-	g.tell(burdockgroup.ControllerTick{})
+	g.handle(burdockgroup.ControllerTick{})
 }
 
-func (g *slowGroup) apply(s *burdockgroup.EngineStatus, body burdockgroup.OrderBody) {
+func (g *delayedGroup) apply(s *burdockgroup.EngineStatus, body burdockgroup.OrderBody) {
 	switch body := body.(type) {
 	case burdockgroup.Load:
 		s.Spare = body.Map
@@ -89,7 +89,7 @@
 	}
 }
 
-func (g *slowGroup) step() {
+func (g *delayedGroup) step() {
 	for _, s := range g.ranks {
 		if s.Held && s.HoldAt == s.Next {
 			return
@@ -104,48 +104,48 @@
 	}
 }
 
-// All streams of a large group pause at once whenever its map changes. The three
-// rounds of orders take 2 ms a rank, a pass under load a tenth of a second; a
-// step of the change that comes before the rounds end makes the group stand, and
-// that pause with the pass is longer than callers accept. One that is set far
-// beyond them keeps a map in use that no longer fits.
-func TestLeadCoversTheRoundsOfALargeGroup(t *testing.T) {
+// All streams of a large group pause while its map changes. The three rounds of orders
+// take 2 ms per rank, a step under load a tenth of a second. If the lead is too short,
+// the step of the switch comes before the rounds end: the group stalls, and that pause
+// and the step together are longer than callers accept. If the lead is too long, an
+// outdated map stays in use.
+func TestSwitchLeadCoversOrderRoundsOfLargeGroup(t *testing.T) {
 	const (
-		perRank = 2 * burdockclock.Millis(1)
-		pass    = 50 * burdockclock.Millis(1)
-		most    = 2 // passes that a change may wait for nothing
+		roundTimePerRank = 2 * burdockclock.Millis(1)
+		stepTime         = 50 * burdockclock.Millis(1)
+		maxSpareSteps    = 2 // steps that a change may wait for no reason
 	)
-	// From one change to the wish for the next.
-	for _, turn := range []burdockclock.Millis{0, burdockclock.Second} {
+	// pause from the end of one change to the request for the next
+	for _, interval := range []burdockclock.Millis{0, burdockclock.Second} {
 		for _, ranks := range []int{2, 4, 16, 72, 144, 192} {
-			rounds := perRank * burdockclock.Millis(ranks)
-			g := newSlowGroup(ranks, max(rounds/3, 1), pass)
-			if !g.changeOften(turn) {
-				t.Errorf("%d ranks, a change each %d ms: got %d maps in force, want %d", ranks, turn, g.changes, changesSeen+1)
+			rounds := roundTimePerRank * burdockclock.Millis(ranks)
+			g := newDelayedGroup(ranks, max(rounds/3, 1), stepTime)
+			if !g.runChanges(interval) {
+				t.Errorf("%d ranks, a change every %d ms: got %d maps in force, want %d", ranks, interval, g.completed, changeCount+1)
 				continue
 			}
-			if lead := pass * burdockclock.Millis(g.lead); lead < rounds || lead > rounds+most*pass {
-				t.Errorf("%d ranks, a change each %d ms: a lead of %d passes takes %d ms, want %d to %d",
-					ranks, turn, g.lead, lead, rounds, rounds+most*pass)
+			if leadTime := stepTime * burdockclock.Millis(g.lastLead); leadTime < rounds || leadTime > rounds+maxSpareSteps*stepTime {
+				t.Errorf("%d ranks, a change every %d ms: a lead of %d steps takes %d ms, want %d to %d",
+					ranks, interval, g.lastLead, leadTime, rounds, rounds+maxSpareSteps*stepTime)
 			}
 		}
 	}
 }
 
-// changesSeen is how many changes a controller has made before its lead is judged.
-const changesSeen = 4
+// changeCount is how many changes a controller makes before its lead is checked.
+const changeCount = 4
 
-// changeOften makes changes with a rest after each, and reports whether all came
-// into force.
-func (g *slowGroup) changeOften(rest burdockclock.Millis) bool {
-	for change := 1; change <= changesSeen; change++ {
-		g.tell(burdockgroup.MapWanted{Content: []byte{byte(change)}})
-		for g.changes <= change && g.now < burdockclock.Minute {
-			g.millisecond()
+// runChanges requests changes with a pause after each, and reports whether all have
+// completed.
+func (g *delayedGroup) runChanges(pause burdockclock.Millis) bool {
+	for change := 1; change <= changeCount; change++ {
+		g.handle(burdockgroup.MapWanted{Content: []byte{byte(change)}})
+		for g.completed <= change && g.now < burdockclock.Minute {
+			g.advance()
 		}
-		for until := g.now + rest; g.now < until; {
-			g.millisecond()
+		for until := g.now + pause; g.now < until; {
+			g.advance()
 		}
 	}
-	return g.changes == changesSeen+1
+	return g.completed == changeCount+1
 }
--- a/internal/serve/burdockhosted/engine_test.go
+++ b/internal/serve/burdockhosted/engine_test.go
@@ -11,64 +11,63 @@
 	"go.uber.org/zap"
 )
 
-// deafRank leaves its first orders unanswered and undone.
-type deafRank struct {
+// unresponsiveRank leaves its first orders unanswered and does not carry them out.
+type unresponsiveRank struct {
 	fakeRank
-	deaf  int
-	given int
+	ignored  int
+	received int
 }
 
 // Order implements Rank.
-func (r *deafRank) Order(ctx context.Context, epoch, after int64, order RankOrder) error {
-	r.given++
-	if r.given <= r.deaf {
+func (r *unresponsiveRank) Order(ctx context.Context, epoch, orderCount int64, order RankOrder) error {
+	r.received++
+	if r.received <= r.ignored {
 		return ErrNoAnswer.New("no answer")
 	}
-	return r.fakeRank.Order(ctx, epoch, after, order)
+	return r.fakeRank.Order(ctx, epoch, orderCount, order)
 }
 
-func newDeafEngine(deaf int) (*deafRank, *engine) {
+func newUnresponsiveEngine(ignored int) (*unresponsiveRank, *engine) {
 	group := &fakeGroup{used: map[int64]bool{}}
-	r := &deafRank{fakeRank: fakeRank{group: group}, deaf: deaf}
+	r := &unresponsiveRank{fakeRank: fakeRank{group: group}, ignored: ignored}
 	group.ranks = []*fakeRank{&r.fakeRank}
 	return r, &engine{rank: r, spec: func() *burdocksite.Engine { return nil }, epoch: 1, speed: newEngineSpeed(zap.NewNop())}
 }
 
-// A group stands until an engine has carried out an order that it leaves
-// unanswered. The order is given again at once, and not by the next round of
-// the group's controller.
-func TestUnansweredOrderIsGivenAgainAtOnce(t *testing.T) {
-	r, e := newDeafEngine(3)
+// A group stalls until an engine has carried out an order that it left unanswered. The
+// order must be sent again at once, and not only in the controller's next round.
+func TestUnansweredOrderIsRetriedImmediately(t *testing.T) {
+	r, e := newUnresponsiveEngine(3)
 	status, err := e.Order(context.Background(), 1, burdockgroup.HoldAt{Step: 5})
 	if err != nil || !status.Held || status.HoldAt != 5 {
 		t.Errorf("got %+v, %v, want it held at step 5", status, err)
 	}
-	if got, want := r.given, 4; got != want {
-		t.Errorf("orders given: got %d, want %d", got, want)
+	if got, want := r.received, 4; got != want {
+		t.Errorf("orders received: got %d, want %d", got, want)
 	}
-	r, e = newDeafEngine(1000)
+	r, e = newUnresponsiveEngine(1000)
 	if _, err := e.Order(context.Background(), 1, burdockgroup.HoldAt{Step: 5}); !errorx.IsOfType(err, ErrNoAnswer) {
-		t.Errorf("an engine that never answers: got %v, want no answer", err)
+		t.Errorf("an engine that never answers: got %v, want ErrNoAnswer", err)
 	}
-	if got, most := r.given, maxOrderAttempts; got > most {
-		t.Errorf("orders given: got %d, want %d at most", got, most)
+	if got, limit := r.received, maxOrderAttempts; got > limit {
+		t.Errorf("orders received: got %d, want %d at most", got, limit)
 	}
 }
 
-// A group was formed anew while an order of the epoch before was under way. The
-// order must not reach the new one: its steps begin again from the first.
-func TestOrderOfAnotherEpochIsNotGiven(t *testing.T) {
-	r, e := newDeafEngine(0)
+// A group is formed again while an order of the previous epoch is on its way. The order
+// must not reach the new epoch, whose step numbers start from the beginning.
+func TestOrderOfAnotherEpochIsNotSent(t *testing.T) {
+	r, e := newUnresponsiveEngine(0)
 	e.epoch = 2
 	if _, err := e.Order(context.Background(), 1, burdockgroup.HoldAt{Step: 5}); !errorx.IsOfType(err, ErrNoGroup) {
-		t.Errorf("got %v, want that there is no such group", err)
+		t.Errorf("got %v, want ErrNoGroup", err)
 	}
-	if got, want := r.given, 0; got != want {
-		t.Errorf("orders given: got %d, want %d", got, want)
+	if got, want := r.received, 0; got != want {
+		t.Errorf("orders received: got %d, want %d", got, want)
 	}
 }
 
-func TestFirstMapHoldsExpertsInTurn(t *testing.T) {
+func TestInitialMapAssignsExpertsRoundRobin(t *testing.T) {
 	content, err := initialMapContent(&burdocksite.Engine{Layers: 2, Experts: 4}, 2)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/serve/burdockhosted/leases_test.go
+++ b/internal/serve/burdockhosted/leasestore_test.go
@@ -14,7 +14,7 @@
 	"go.uber.org/zap"
 )
 
-// fakeKV is a store with leases on keys. It may lose the answer of a write.
+// fakeKV is a store with leases on keys. It can lose the answer to a write.
 type fakeKV struct {
 	rev       burdockkv.Revision
 	items     map[string]burdockkv.Item
@@ -96,23 +96,26 @@
 	}
 }
 
-// holder is one agent's leases, with a mirror that follows the store at once.
-type holder struct {
+// leaseAgent is the lease store of one agent, with a mirror that the test updates from
+// the store.
+type leaseAgent struct {
 	*leaseStore
 	store  *fakeKV
 	mirror *burdockkv.Mirror
 	clock  *burdockclock.Manual
 }
 
-func newHolder(store *fakeKV) *holder { return newHolderAt(store, burdockrank.Assignment{}) }
+func newLeaseAgent(store *fakeKV) *leaseAgent {
+	return newLeaseAgentAt(store, burdockrank.Assignment{})
+}
 
-func newHolderAt(store *fakeKV, seat burdockrank.Assignment) *holder {
+func newLeaseAgentAt(store *fakeKV, assignment burdockrank.Assignment) *leaseAgent {
 	m, clock := burdockkv.NewMirror(), burdockclock.NewManual(1)
-	l := newLeaseStore(store, m, clock.Clock(), func() burdockrank.Assignment { return seat }, zap.NewNop())
-	return &holder{leaseStore: l, store: store, mirror: m, clock: clock}
+	l := newLeaseStore(store, m, clock.Clock(), func() burdockrank.Assignment { return assignment }, zap.NewNop())
+	return &leaseAgent{leaseStore: l, store: store, mirror: m, clock: clock}
 }
 
-func (h *holder) acquire(name string) (burdockstore.Lease, error) {
+func (h *leaseAgent) acquire(name string) (burdockstore.Lease, error) {
 	items, _, _ := h.store.List(context.Background(), prefixLease)
 	h.mirror.Listed(items)
 	return h.Acquire(context.Background(), "duty", name, 1000)
@@ -120,7 +123,7 @@
 
 func TestOneHolderAtATime(t *testing.T) {
 	store := newFakeKV()
-	a, b := newHolder(store), newHolder(store)
+	a, b := newLeaseAgent(store), newLeaseAgent(store)
 	first, err := a.acquire("a")
 	if err != nil {
 		t.Fatal(err)
@@ -142,12 +145,12 @@
 	}
 }
 
-// The write that takes the lease has no answer and took effect. Its writer must
-// not think that somebody else holds the duty, and leave the group without one.
-func TestLostAnswerOfTheWriteThatTookTheLease(t *testing.T) {
+// The write that acquires the lease takes effect, but its answer is lost. The agent must
+// recognize the lease as its own; otherwise the group has no controller.
+func TestLostAnswerToLeaseWrite(t *testing.T) {
 	store := newFakeKV()
 	store.loseWrite = true
-	a := newHolder(store)
+	a := newLeaseAgent(store)
 	if _, err := a.acquire("a"); !errorx.IsOfType(err, burdockstore.ErrUnavailable) {
 		t.Fatalf("got %v, want no answer", err)
 	}
@@ -157,12 +160,11 @@
 	}
 }
 
-// An agent starts when the lease has lapsed and its key is gone. The number that
-// it learns must not be lower than that of the holder before, nor as high as
-// that of the next one.
-func TestFenceOfALeaseThatLapsed(t *testing.T) {
+// An agent starts when the lease has lapsed and its key is gone. The fencing number that
+// it reads must be at least that of the previous holder and below that of the next one.
+func TestFenceOfLapsedLease(t *testing.T) {
 	store := newFakeKV()
-	a, b := newHolder(store), newHolder(store)
+	a, b := newLeaseAgent(store), newLeaseAgent(store)
 	first, _ := a.acquire("a")
 	store.lapse(a.held["duty"].id)
 	learned, err := b.Fence(context.Background(), "duty")
@@ -171,26 +173,26 @@
 	}
 	second, _ := b.acquire("b")
 	if got := fmt.Sprint(learned >= first.Fence, learned < second.Fence); got != "true true" {
-		t.Errorf("learned %d between holders with %d and %d, want it between", learned, first.Fence, second.Fence)
+		t.Errorf("read fence %d between holders with %d and %d, want it between", learned, first.Fence, second.Fence)
 	}
 }
 
-// agentsAtALapse is a group's agents after its lease has lapsed.
-type agentsAtALapse struct {
-	store  *fakeKV
-	agents []*holder // nil for one that is dead
-	heard  []burdockclock.Millis
-	now    burdockclock.Millis
+// lapsedLeaseGroup holds the agents of a group whose lease has lapsed.
+type lapsedLeaseGroup struct {
+	store    *fakeKV
+	agents   []*leaseAgent // nil for a dead agent
+	listedAt []burdockclock.Millis
+	now      burdockclock.Millis
 }
 
-// newAgentsAtALapse returns agents that have known a holder whose lease is gone.
-func newAgentsAtALapse(ranks int, dead func(rank int) bool) *agentsAtALapse {
-	a := &agentsAtALapse{store: newFakeKV(), heard: make([]burdockclock.Millis, ranks)}
-	before := newHolderAt(a.store, burdockrank.Assignment{Group: "g@1", Rank: 5, Ranks: ranks})
+// newLapsedLeaseGroup returns agents that have seen a holder whose lease has lapsed.
+func newLapsedLeaseGroup(ranks int, dead func(rank int) bool) *lapsedLeaseGroup {
+	a := &lapsedLeaseGroup{store: newFakeKV(), listedAt: make([]burdockclock.Millis, ranks)}
+	before := newLeaseAgentAt(a.store, burdockrank.Assignment{Group: "g@1", Rank: 5, Ranks: ranks})
 	_, _ = before.Acquire(context.Background(), groupLease, "before", 1000)
 	for rank := range ranks {
-		seat := burdockrank.Assignment{Group: "g@1", Rank: burdockid.Rank(rank), Ranks: ranks}
-		h := newHolderAt(a.store, seat)
+		assignment := burdockrank.Assignment{Group: "g@1", Rank: burdockid.Rank(rank), Ranks: ranks}
+		h := newLeaseAgentAt(a.store, assignment)
 		a.agents = append(a.agents, h)
 		a.list(h)
 		_, _ = h.Acquire(context.Background(), groupLease, fmt.Sprint(rank), 1000)
@@ -208,46 +210,47 @@
 // groupLease is the name of the group's lease.
 var groupLease = burdockrank.LeaseName("g@1")
 
-func (a *agentsAtALapse) list(h *holder) {
+func (a *lapsedLeaseGroup) list(h *leaseAgent) {
 	items, _, _ := a.store.List(context.Background(), prefixLease)
 	h.mirror.Listed(items)
 }
 
-// run lets agents look each 50 ms, each with what it has heard of the store, and
-// returns when one has the lease, 0 if none.
-func (a *agentsAtALapse) run(until burdockclock.Millis) burdockclock.Millis {
-	taken := burdockclock.Millis(0)
+// run lets each agent try for the lease every 50 ms, with a mirror that is as old as its
+// watch gap allows. It returns the time at which the first agent acquired the lease; 0 if
+// none did.
+func (a *lapsedLeaseGroup) run(until burdockclock.Millis) burdockclock.Millis {
+	acquiredAt := burdockclock.Millis(0)
 	for a.now = 10; a.now <= until; a.now += 10 {
 		for rank, h := range a.agents {
 			if h == nil {
 				continue
 			}
 			h.clock.Advance(10)
-			if a.now == 10 || a.now-a.heard[rank] >= h.watchGap() {
-				a.heard[rank] = a.now
+			if a.now == 10 || a.now-a.listedAt[rank] >= h.watchGap() {
+				a.listedAt[rank] = a.now
 				a.list(h)
 			}
 			if (a.now/10+burdockclock.Millis(rank))%5 != 0 {
 				continue
 			}
-			if _, err := h.Acquire(context.Background(), groupLease, fmt.Sprint(rank), 1000); err == nil && taken == 0 {
-				taken = a.now
+			if _, err := h.Acquire(context.Background(), groupLease, fmt.Sprint(rank), 1000); err == nil && acquiredAt == 0 {
+				acquiredAt = a.now
 			}
 		}
 	}
-	return taken
+	return acquiredAt
 }
 
-// Callers of a large group wait while it has no controller, and whenever a lease
-// lapses the store is busy with hundreds of agents that all run for it. A lapse has
-// to cost a handful of calls, and the next holder has to come soon, though many
-// agents have died with the one before.
-func TestLapsedLeaseCostsAHandfulOfCalls(t *testing.T) {
+// Callers of a large group wait while it has no controller. If hundreds of agents try for
+// a lapsed lease at once, the store is overloaded each time. A lapse must cost a handful
+// of calls, and there must soon be a new holder even if many agents died together with
+// the previous one.
+func TestLapsedLeaseCostsFewStoreCalls(t *testing.T) {
 	tests := []struct {
 		name  string
 		ranks int
 		dead  func(rank int) bool
-		most  burdockclock.Millis // without a holder
+		limit burdockclock.Millis // maximum time without a holder
 	}{
 		{"all alive", 192, func(int) bool { return false }, 200},
 		{"a small group", 2, func(int) bool { return false }, 200},
@@ -257,14 +260,14 @@
 		{"one left", 192, func(rank int) bool { return rank != 100 }, 10_000},
 	}
 	for _, test := range tests {
-		a := newAgentsAtALapse(test.ranks, test.dead)
-		taken := a.run(test.most)
-		if taken == 0 {
-			t.Errorf("%s: no holder after %d ms", test.name, test.most)
+		a := newLapsedLeaseGroup(test.ranks, test.dead)
+		acquiredAt := a.run(test.limit)
+		if acquiredAt == 0 {
+			t.Errorf("%s: no holder after %d ms", test.name, test.limit)
 		}
-		if got, most := a.store.calls, 20; got > most {
-			t.Errorf("%s: got %d calls, want %d at most", test.name, got, most)
+		if got, limit := a.store.calls, 20; got > limit {
+			t.Errorf("%s: got %d calls, want %d at most", test.name, got, limit)
 		}
-		t.Logf("%s: a holder after %d ms, %d calls", test.name, taken, a.store.calls)
+		t.Logf("%s: a holder after %d ms, %d calls", test.name, acquiredAt, a.store.calls)
 	}
 }
--- a/internal/serve/burdockhosted/news_test.go
+++ b/internal/serve/burdockhosted/notifications_test.go
@@ -14,27 +14,27 @@
 	"go.uber.org/zap"
 )
 
-func newTestTeller(store *fakeKV) *publisher {
+func newTestPublisher(store *fakeKV) *publisher {
 	return newPublisher(store, burdockclock.Minute, true, zap.NewNop())
 }
 
-// writeAll does what the teller's loop does.
+// writeAll writes all pending keys, like the publisher's loop.
 func (p *publisher) writeAll() {
 	for next := p.nextBatch(); len(next) > 0; next = p.nextBatch() {
 		p.write(next)
 	}
 }
 
-// Guards against a write for each request that ran at an upstream which crashed.
-func TestNewsAreToldTogether(t *testing.T) {
+// An upstream that crashes must not cause one write for each request that ran on it.
+func TestNotificationsAreBatched(t *testing.T) {
 	store := newFakeKV()
-	told := newTestTeller(store)
+	p := newTestPublisher(store)
 	var puts []burdockkv.Put
 	for i := range maxPutsPerWrite + 1 {
 		puts = append(puts, burdockkv.Put{Key: fmt.Sprint(prefixNotifications, i)})
 	}
-	told.publish(puts)
-	told.writeAll()
+	p.publish(puts)
+	p.writeAll()
 	if got, want := store.calls, 4; got != want { // a lease and a write, twice
 		t.Errorf("calls: got %d, want %d", got, want)
 	}
@@ -43,23 +43,23 @@
 	}
 }
 
-// Guards against news that are lost with an answer of the store.
-func TestLastingNewsAreWrittenAgain(t *testing.T) {
+// A notification must not be lost if the store's answer is lost.
+func TestFailedNotificationsAreRetried(t *testing.T) {
 	store := newFakeKV()
 	store.loseWrite = true
-	told := newTestTeller(store)
-	told.publish([]burdockkv.Put{{Key: prefixNotifications + "a"}})
-	told.writeAll()
+	p := newTestPublisher(store)
+	p.publish([]burdockkv.Put{{Key: prefixNotifications + "a"}})
+	p.writeAll()
 	if got, want := store.calls, 4; got != want {
 		t.Errorf("calls: got %d, want %d", got, want)
 	}
 }
 
-// Guards against a crash that other entries can't read, and against records of another
-// writer that stand for one.
-func TestCrashingRequestIsReadAsItWasTold(t *testing.T) {
+// Other entries must be able to read a published crash. Records under the prefix that
+// cannot be decoded must not count as crashes.
+func TestPublishedCrashIsReadBack(t *testing.T) {
 	store := newFakeKV()
-	e := &entry{log: zap.NewNop(), crashPublisher: newTestTeller(store)}
+	e := &entry{log: zap.NewNop(), crashPublisher: newTestPublisher(store)}
 	want := burdocksuspect.Crash{Request: burdocksuspect.DigestOf("POST", "/a", "acme", []byte("x")), Upstream: "u", At: 7}
 	e.publishCrashes([]burdocksuspect.Crash{want})
 	e.crashPublisher.writeAll()
@@ -72,25 +72,27 @@
 	}
 }
 
-// Guards against a doubt that is renewed by each other change under the prefix.
-func TestDoubtIsHandedOnOnce(t *testing.T) {
-	var d suspectedKeys
+// A suspected upstream must not be reported again whenever another key under the prefix
+// changes.
+func TestSuspectedUpstreamIsReportedOncePerWrite(t *testing.T) {
+	var keys suspectedKeys
 	items := []burdockkv.Item{{Key: prefixSuspected + "a", Revision: 3}}
 	for i, want := range [][]burdockid.Upstream{{"a"}, nil} {
-		if got := d.updated(items); !slices.Equal(got, want) {
+		if got := keys.updated(items); !slices.Equal(got, want) {
 			t.Errorf("call %d: got %v, want %v", i, got, want)
 		}
 	}
 	items[0].Revision = 5
-	if got, want := d.updated(items), []burdockid.Upstream{"a"}; !slices.Equal(got, want) {
+	if got, want := keys.updated(items), []burdockid.Upstream{"a"}; !slices.Equal(got, want) {
 		t.Errorf("written again: got %v, want %v", got, want)
 	}
 }
 
-// Guards against entries that learn of a group's opening by refused offers alone.
-func TestControllerTellsTheOpenEpoch(t *testing.T) {
+// Entries must learn from the store that a group has opened, not only from refused
+// offers.
+func TestLeaseHolderPublishesOpenEpoch(t *testing.T) {
 	store := newFakeKV()
-	h := newHolderAt(store, burdockrank.Assignment{Group: "g" + epochSeparator + "7", Ranks: 1})
+	h := newLeaseAgentAt(store, burdockrank.Assignment{Group: "g" + epochSeparator + "7", Ranks: 1})
 	if _, err := h.acquire("a"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/serve/burdockhosted/speed_test.go
+++ b/internal/serve/burdockhosted/speed_test.go
@@ -13,98 +13,98 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-func slowdown(times float64) RankReport { return RankReport{Slowdown: &times} }
+func reportWithSlowdown(factor float64) RankReport { return RankReport{Slowdown: &factor} }
 
-// An engine's report tells a speed that can't be, again and again. The group goes
-// on as if it were usual, and the log says so once.
-func TestSpeedThatCannotBeIsTakenForUsual(t *testing.T) {
-	for _, times := range []float64{0, -1, 1e12, math.NaN()} {
+// An engine keeps reporting an invalid speed. It must count as the baseline speed, and be
+// logged only once.
+func TestInvalidSpeedCountsAsBaseline(t *testing.T) {
+	for _, factor := range []float64{0, -1, 1e12, math.NaN()} {
 		core, logs := observer.New(zapcore.WarnLevel)
-		own := newEngineSpeed(zap.New(core))
+		speed := newEngineSpeed(zap.New(core))
 		for range 3 {
-			own.observe(slowdown(times))
+			speed.observe(reportWithSlowdown(factor))
 		}
-		if got, want := own.current(), burdockspeed.Baseline; got != want {
-			t.Errorf("slowdown %g: got speed %v, want %v", times, got, want)
+		if got, want := speed.current(), burdockspeed.Baseline; got != want {
+			t.Errorf("slowdown %g: got speed %v, want %v", factor, got, want)
 		}
 		if got, want := logs.Len(), 1; got != want {
-			t.Errorf("slowdown %g: got %d warnings, want %d", times, got, want)
+			t.Errorf("slowdown %g: got %d warnings, want %d", factor, got, want)
 		}
 	}
 }
 
-func TestReportWithoutASpeedTellsNone(t *testing.T) {
-	own := newEngineSpeed(zap.NewNop())
-	own.observe(RankReport{})
-	if got := own.current(); got != 0 {
+func TestReportWithoutSpeedLeavesSpeedUnknown(t *testing.T) {
+	speed := newEngineSpeed(zap.NewNop())
+	speed.observe(RankReport{})
+	if got := speed.current(); got != 0 {
 		t.Errorf("got %v, want 0", got)
 	}
 }
 
-func recordsOf(f *fakeKV) map[string]burdockspeed.Speed {
+func publishedSpeeds(f *fakeKV) map[string]burdockspeed.Speed {
 	items, _, _ := f.List(context.Background(), prefixSpeed)
 	return readSpeeds(items, zap.NewNop())
 }
 
-// An engine turns slow and is sound again, and the lease of its record lapses in
-// between. Entries see it slow for as long as it is, and no longer.
-func TestSlowEngineIsAnnouncedWhileItIsSlow(t *testing.T) {
-	store, own := newFakeKV(), newEngineSpeed(zap.NewNop())
-	a := newSpeedPublisher(store, "10.0.0.1:80", own, zap.NewNop())
-	tell := func(times float64) map[string]burdockspeed.Speed {
+// An engine becomes slow and recovers, and the lease of its record lapses in between.
+// Entries must see it as slow exactly while it is slow.
+func TestSlowEngineHasRecordWhileSlow(t *testing.T) {
+	store, speed := newFakeKV(), newEngineSpeed(zap.NewNop())
+	p := newSpeedPublisher(store, "10.0.0.1:80", speed, zap.NewNop())
+	publishSlowdown := func(factor float64) map[string]burdockspeed.Speed {
 		t.Helper()
-		own.observe(slowdown(times))
-		if _, err := a.update(); err != nil {
+		speed.observe(reportWithSlowdown(factor))
+		if _, err := p.update(); err != nil {
 			t.Fatal(err)
 		}
-		return recordsOf(store)
+		return publishedSpeeds(store)
 	}
-	if got := tell(1); len(got) != 0 || store.calls != 0 {
-		t.Errorf("usual: got %v after %d calls, want no record and no call", got, store.calls)
+	if got := publishSlowdown(1); len(got) != 0 || store.calls != 0 {
+		t.Errorf("baseline: got %v after %d calls, want no record and no call", got, store.calls)
 	}
-	if got, want := tell(2)["10.0.0.1:80"], burdockspeed.Speed(0.5); got != want {
+	if got, want := publishSlowdown(2)["10.0.0.1:80"], burdockspeed.Speed(0.5); got != want {
 		t.Errorf("slow: got %v, want %v", got, want)
 	}
 	calls := store.calls
-	if tell(2.05); store.calls != calls {
-		t.Errorf("a change that is not notable: got %d calls more, want none", store.calls-calls)
+	if publishSlowdown(2.05); store.calls != calls {
+		t.Errorf("insignificant change: got %d more calls, want none", store.calls-calls)
 	}
-	store.lapse(a.lease)
-	if _, err := a.update(); err == nil {
+	store.lapse(p.lease)
+	if _, err := p.update(); err == nil {
 		t.Error("renewing a lease that has ended: got no error")
 	}
-	if got, want := tell(2)["10.0.0.1:80"], burdockspeed.Speed(0.5); got != want {
+	if got, want := publishSlowdown(2)["10.0.0.1:80"], burdockspeed.Speed(0.5); got != want {
 		t.Errorf("after the lease lapsed: got %v, want %v", got, want)
 	}
-	if got, want := tell(4)["10.0.0.1:80"], burdockspeed.Speed(0.25); got != want {
+	if got, want := publishSlowdown(4)["10.0.0.1:80"], burdockspeed.Speed(0.25); got != want {
 		t.Errorf("slower: got %v, want %v", got, want)
 	}
-	if got := tell(1); len(got) != 0 {
-		t.Errorf("sound again: got %v, want no record", got)
+	if got := publishSlowdown(1); len(got) != 0 {
+		t.Errorf("recovered: got %v, want no record", got)
 	}
 }
 
-// An agent is stopped while its engine is slow. No record may be left that nobody
-// would take back.
+// An agent is stopped while its engine is slow. It must not leave a record that nobody
+// would delete.
 func TestStoppedAgentLeavesNoRecord(t *testing.T) {
-	store, own := newFakeKV(), newEngineSpeed(zap.NewNop())
-	own.observe(slowdown(3))
-	a := newSpeedPublisher(store, "10.0.0.1:80", own, zap.NewNop())
-	a.start()
-	for deadline := time.Now().Add(10 * time.Second); len(own.changed) > 0; time.Sleep(time.Millisecond) {
+	store, speed := newFakeKV(), newEngineSpeed(zap.NewNop())
+	speed.observe(reportWithSlowdown(3))
+	p := newSpeedPublisher(store, "10.0.0.1:80", speed, zap.NewNop())
+	p.start()
+	for deadline := time.Now().Add(10 * time.Second); len(speed.changed) > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("the change was not taken up")
+			t.Fatal("the change was not processed")
 		}
 	}
-	a.close()
-	if got := recordsOf(store); len(got) != 0 {
+	p.close()
+	if got := publishedSpeeds(store); len(got) != 0 {
 		t.Errorf("got %v, want no record", got)
 	}
 }
 
-// Records under the prefix come from another writer: bytes that can't be read and
-// speeds that can't be. They slow no engine; the others hold.
-func TestRecordsOfAnotherWriterSlowNothing(t *testing.T) {
+// Records under the prefix may come from another writer and be unreadable or contain
+// invalid speeds. They must be skipped, while valid ones take effect.
+func TestInvalidSpeedRecordsAreSkipped(t *testing.T) {
 	items := []burdockkv.Item{
 		{Key: prefixSpeed + "a", Value: []byte("\xff")},
 		{Key: prefixSpeed + "b", Value: []byte(`{"upstream":"b","speed":0}`)},
