--- a/internal/serve/burdockentry/attempt.go
+++ b/internal/serve/burdockentry/attempt.go
@@ -17,75 +17,75 @@
 )
 
 const (
-	// silenceLimit is how long a stream may be without any event. The agent
-	// sends a heartbeat four times as often.
-	silenceLimit = 2 * time.Second
-	// attachPause is the wait before the second and later tries to attach.
-	attachPause = 250 * time.Millisecond
-	// attachTries bounds how often an answer is asked for anew without any
-	// progress. With the silence limit it gives an agent that was frozen or cut
-	// off some ten seconds to come back.
-	attachTries = 5
-	cancelWait  = 2 * time.Second
+	// silenceTimeout is the longest time without an event on a stream. The agent sends
+	// heartbeats four times as often.
+	silenceTimeout = 2 * time.Second
+	// attachDelay is the delay before the second and each later try to attach.
+	attachDelay = 250 * time.Millisecond
+	// maxAttachTries bounds the successive tries to attach that bring no data. With
+	// silenceTimeout it gives an agent that was frozen or cut off about ten seconds to
+	// come back.
+	maxAttachTries = 5
+	cancelTimeout  = 2 * time.Second
 )
 
-// errSilent says that a stream had no event for too long.
-var errSilent = errors.New("the connection to the agent went silent")
+// errSilent reports that an agent sent nothing on a stream for too long.
+var errSilent = errors.New("no event from the agent within the silence timeout")
 
-// attempt is one offer to one upstream, over as many connections as it takes.
+// attempt is one offer to one upstream. It may use several connections to the
+// upstream's agent.
 type attempt struct {
-	offers  *offers
-	target  burdockmember.Upstream
-	maxLoad float64
-	began   burdockclock.Millis
-	offset  int64
-	tries   int
-	last    error
-	ended   bool // the placer was told that the offer ended
+	dispatcher  *dispatcher
+	target      burdockmember.Upstream
+	maxLoad     float64
+	startedAt   burdockclock.Millis
+	offset      int64
+	attachTries int
+	lastErr     error
+	ended       bool // the placer has been notified of the offer's end
 }
 
-// follow offers the request and follows it to its end.
+// run offers the request and returns how the offer ended.
 //
-// Failure: a connection breaks, or goes silent for good because something
-// between the two ends has lost track of it. Symptom: no event and no
-// heartbeat. The agent goes on with the request, and the answer is taken up
-// on a new connection from the byte that is missing, so nothing is lost and
-// nothing runs twice.
-func (a *attempt) follow(ctx context.Context) result {
-	client := a.offers.entry.agent(a.target.Agent)
-	a.offers.caller.reset()
-	res, sent := a.connect(ctx, func(ctx context.Context) (*eventStream, error) {
+// A connection may break, or go silent without an error because a device on the path
+// lost its state; then neither events nor heartbeats arrive. The agent goes on with the
+// request, and run attaches to it on a new connection, from the first missing byte. No
+// byte is lost and the request does not run twice.
+func (a *attempt) run(ctx context.Context) result {
+	client := a.dispatcher.entry.agentClient(a.target.Agent)
+	a.dispatcher.response.resetHead()
+	res, sent := a.readStream(ctx, func(ctx context.Context) (*eventStream, error) {
 		return client.Run(ctx, connect.NewRequest(a.runRequest()))
 	})
 	if res == nil && !sent {
-		return unreached{}
+		return connectFailed{}
 	}
 	for res == nil {
 		if ctx.Err() != nil {
-			a.withdraw(client)
+			a.cancelAtAgent(client)
 			return callerGone{}
 		}
-		if a.tries++; a.tries > attachTries || a.late() {
-			a.withdraw(client)
-			return a.lost()
+		if a.attachTries++; a.attachTries > maxAttachTries || a.deadlinePassed() {
+			a.cancelAtAgent(client)
+			return a.agentLost()
 		}
-		a.offers.entry.meters.attachments.Inc()
-		a.offers.entry.deps.Peers.DropIdle()
-		if a.tries > 1 {
-			a.wait(ctx)
+		a.dispatcher.entry.meters.attachments.Inc()
+		a.dispatcher.entry.deps.Peers.DropIdle()
+		if a.attachTries > 1 {
+			a.waitToAttach(ctx)
 		}
-		res, _ = a.connect(ctx, func(ctx context.Context) (*eventStream, error) {
+		res, _ = a.readStream(ctx, func(ctx context.Context) (*eventStream, error) {
 			return client.Attach(ctx, connect.NewRequest(a.attachRequest()))
 		})
 	}
 	if _, gone := res.(callerGone); gone {
-		a.withdraw(client)
+		a.cancelAtAgent(client)
 	}
 	return res
 }
 
-func (a *attempt) wait(ctx context.Context) {
-	timer := time.NewTimer(attachPause)
+func (a *attempt) waitToAttach(ctx context.Context) {
+	timer := time.NewTimer(attachDelay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -93,174 +93,177 @@
 	}
 }
 
-// late reports whether the caller's deadline has passed.
-func (a *attempt) late() bool {
-	deadline := a.offers.req.deadline
-	return deadline > 0 && a.offers.now() > deadline
+// deadlinePassed reports whether the request's deadline has passed.
+func (a *attempt) deadlinePassed() bool {
+	deadline := a.dispatcher.req.deadline
+	return deadline > 0 && a.dispatcher.now() > deadline
 }
 
-// lost is the result when the agent can't be asked any longer.
-func (a *attempt) lost() result {
-	// An error of the network names inner addresses, which callers must not see.
-	a.offers.entry.deps.Log.Warn("agent lost",
-		zap.String("requestId", string(a.offers.req.id)), zap.String("upstream", string(a.target.Name)), zap.Error(a.last))
+// agentLost returns the result for an agent that can't be reached any more.
+func (a *attempt) agentLost() result {
+	// Network errors contain internal addresses, which callers must not see.
+	a.dispatcher.entry.deps.Log.Warn("agent lost",
+		zap.String("requestId", string(a.dispatcher.req.id)), zap.String("upstream", string(a.target.Name)), zap.Error(a.lastErr))
 	const reason = "the connection to the upstream's agent was lost"
-	if a.offers.caller.begun {
-		return broken{reason: reason}
+	if a.dispatcher.response.headWritten {
+		return truncated{reason: reason}
 	}
-	return unknown{reason: reason, deadline: a.late()}
+	return unknownOutcome{reason: reason, deadlineExceeded: a.deadlinePassed()}
 }
 
-// eventStream is what an agent tells of one request.
+// eventStream carries an agent's events about one request.
 type eventStream = connect.ServerStreamForClient[burdockwire.RunEvent]
 
-// open starts a stream of events.
-type open func(context.Context) (*eventStream, error)
+// streamOpener opens an event stream.
+type streamOpener func(context.Context) (*eventStream, error)
 
-// connect follows one stream. It returns a nil result when the stream ended
-// before the request did, and whether anything may have been sent.
-func (a *attempt) connect(ctx context.Context, start open) (result, bool) {
+// readStream opens an event stream and handles its events. The result is nil when the
+// stream ended before the request did. The bool reports whether anything may have been
+// sent.
+func (a *attempt) readStream(ctx context.Context, start streamOpener) (result, bool) {
 	var sent atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }}
-	// What is left of the stream may outlive the request, see leftover.
+	// The stream may outlive the request while streamCloser reads it to its end.
 	streamCtx, cancel := context.WithCancelCause(context.WithoutCancel(httptrace.WithClientTrace(ctx, trace)))
-	unlink := context.AfterFunc(ctx, func() { cancel(context.Cause(ctx)) })
-	defer unlink()
-	watchdog := time.AfterFunc(silenceLimit, func() { cancel(errSilent) })
+	stopAfterFunc := context.AfterFunc(ctx, func() { cancel(context.Cause(ctx)) })
+	defer stopAfterFunc()
+	watchdog := time.AfterFunc(silenceTimeout, func() { cancel(errSilent) })
 	defer watchdog.Stop()
 	stream, err := start(streamCtx)
 	if err != nil {
-		a.note(streamCtx, err)
+		a.recordError(streamCtx, err)
 		cancel(nil)
 		return nil, sent.Load()
 	}
-	rest := &leftover{entry: a.offers.entry, stream: stream, cancel: cancel}
-	res := a.receive(stream, watchdog)
+	closer := &streamCloser{entry: a.dispatcher.entry, stream: stream, cancel: cancel}
+	res := a.receiveEvents(stream, watchdog)
 	switch res.(type) {
-	case answered, notRun:
-		rest.entry.done.Add(1)
-		go rest.run()
+	case answered, refused:
+		closer.entry.wg.Add(1)
+		go closer.run()
 	default:
-		a.note(streamCtx, stream.Err())
-		rest.close()
+		a.recordError(streamCtx, stream.Err())
+		closer.close()
 	}
 	return res, res != nil || sent.Load()
 }
 
-// receive takes events until one ends the request, or the stream ends.
-func (a *attempt) receive(stream *eventStream, watchdog *time.Timer) result {
+// receiveEvents handles events until one ends the request or the stream ends.
+func (a *attempt) receiveEvents(stream *eventStream, watchdog *time.Timer) result {
 	for stream.Receive() {
-		// The time that a slow caller takes to read is not the agent's silence.
+		// The time that a slow caller takes to read does not count as silence of the
+		// agent.
 		watchdog.Stop()
-		if res := a.take(stream.Msg()); res != nil {
+		if res := a.handleEvent(stream.Msg()); res != nil {
 			return res
 		}
-		watchdog.Reset(silenceLimit)
+		watchdog.Reset(silenceTimeout)
 	}
 	return nil
 }
 
-func (a *attempt) note(ctx context.Context, err error) {
-	a.last = err
+func (a *attempt) recordError(ctx context.Context, err error) {
+	a.lastErr = err
 	if cause := context.Cause(ctx); errors.Is(cause, errSilent) {
-		a.last = errSilent
+		a.lastErr = errSilent
 	}
 }
 
-// take acts on one event. It returns nil while the request goes on.
-func (a *attempt) take(event *burdockwire.RunEvent) result {
-	if event.GetRequestId() != string(a.offers.req.id) {
-		// An event of another request: nothing of this stream can be trusted.
-		return a.mixedUp()
+// handleEvent handles one event. It returns nil while the request goes on.
+func (a *attempt) handleEvent(event *burdockwire.RunEvent) result {
+	if event.GetRequestId() != string(a.dispatcher.req.id) {
+		// Nothing on a stream with an event of another request can be trusted.
+		return a.wrongRequest()
 	}
 	switch ev := event.GetEvent().(type) {
 	case *burdockwire.RunEvent_Admitted:
-		a.report(ev.Admitted.GetLoad())
+		a.reportLoad(ev.Admitted.GetLoad())
 	case *burdockwire.RunEvent_Refused:
-		a.end()
-		a.report(ev.Refused.GetLoad())
-		return notRun{refusal: ev.Refused}
+		a.endOffer()
+		a.reportLoad(ev.Refused.GetLoad())
+		return refused{refusal: ev.Refused}
 	case *burdockwire.RunEvent_Head:
-		a.offers.caller.setHead(ev.Head)
+		a.dispatcher.response.setHead(ev.Head)
 	case *burdockwire.RunEvent_Chunk:
-		return a.takeChunk(ev.Chunk)
+		return a.handleChunk(ev.Chunk)
 	case *burdockwire.RunEvent_End:
-		a.end()
-		a.report(ev.End.GetLoad())
-		return a.takeEnd(ev.End)
+		a.endOffer()
+		a.reportLoad(ev.End.GetLoad())
+		return a.handleEnd(ev.End)
 	case *burdockwire.RunEvent_Cut:
-		a.end()
-		a.report(ev.Cut.GetLoad())
-		return a.takeCut(ev.Cut)
+		a.endOffer()
+		a.reportLoad(ev.Cut.GetLoad())
+		return a.handleCut(ev.Cut)
 	}
 	return nil
 }
 
-func (a *attempt) mixedUp() result {
+func (a *attempt) wrongRequest() result {
 	const reason = "the agent sent an event of another request"
-	if a.offers.caller.begun {
-		return broken{reason: reason}
+	if a.dispatcher.response.headWritten {
+		return truncated{reason: reason}
 	}
-	return unknown{reason: reason}
+	return unknownOutcome{reason: reason}
 }
 
-// end tells the placer that the offer ended. It comes before the report that
-// ends the offer, which no longer counts it.
-func (a *attempt) end() {
+// endOffer notifies the placer that the offer ended. It must be called before the
+// agent's last load report is applied, because that report no longer counts the
+// request.
+func (a *attempt) endOffer() {
 	if !a.ended {
 		a.ended = true
-		a.offers.pool.done(a.offers.now(), a.target.Name, a.offers.req.cost)
+		a.dispatcher.pool.offerEnded(a.dispatcher.now(), a.target.Name, a.dispatcher.req.cost)
 	}
 }
 
-func (a *attempt) report(load *burdockwire.Load) {
-	a.offers.pool.report(a.offers.now(), a.target.Name, load)
+func (a *attempt) reportLoad(load *burdockwire.Load) {
+	a.dispatcher.pool.reportLoad(a.dispatcher.now(), a.target.Name, load)
 }
 
-func (a *attempt) takeChunk(chunk *burdockwire.Chunk) result {
-	if chunk.GetOffset() != a.offset || a.offers.caller.head == nil {
-		return broken{reason: "bytes are missing from the answer"}
+func (a *attempt) handleChunk(chunk *burdockwire.Chunk) result {
+	if chunk.GetOffset() != a.offset || a.dispatcher.response.head == nil {
+		return truncated{reason: "bytes are missing from the answer"}
 	}
 	if a.offset == 0 {
-		a.offers.ending.begun = true
-		a.offers.ending.firstByte = a.offers.now() - a.offers.req.arrived
-		a.offers.pool.observe(a.offers.now(), a.target.Name, burdockeject.ResponseStarted{})
+		a.dispatcher.requestEnd.hasFirstByte = true
+		a.dispatcher.requestEnd.firstByte = a.dispatcher.now() - a.dispatcher.req.receivedAt
+		a.dispatcher.pool.observeHealth(a.dispatcher.now(), a.target.Name, burdockeject.ResponseStarted{})
 	}
-	if err := a.offers.caller.write(chunk.GetData()); err != nil {
+	if err := a.dispatcher.response.write(chunk.GetData()); err != nil {
 		return callerGone{}
 	}
 	a.offset += int64(len(chunk.GetData()))
-	a.tries = 0
+	a.attachTries = 0
 	return nil
 }
 
-func (a *attempt) takeEnd(end *burdockwire.End) result {
-	if end.GetTotalBytes() != a.offset || a.offers.caller.head == nil {
-		return broken{reason: "the answer is not as long as it should be"}
+func (a *attempt) handleEnd(end *burdockwire.End) result {
+	if end.GetTotalBytes() != a.offset || a.dispatcher.response.head == nil {
+		return truncated{reason: "the answer is not as long as it should be"}
 	}
-	if err := a.offers.caller.finish(); err != nil {
+	if err := a.dispatcher.response.finish(); err != nil {
 		return callerGone{}
 	}
 	return answered{
-		ran:    burdockclock.Millis(end.GetRanMillis()),
-		served: burdockid.Tokens(end.GetServedTokens()),
+		duration:     burdockclock.Millis(end.GetRanMillis()),
+		servedTokens: burdockid.Tokens(end.GetServedTokens()),
 	}
 }
 
-func (a *attempt) takeCut(c *burdockwire.Cut) result {
-	if a.offers.caller.begun {
-		return broken{reason: c.GetExplanation()}
+func (a *attempt) handleCut(c *burdockwire.Cut) result {
+	if a.dispatcher.response.headWritten {
+		return truncated{reason: c.GetExplanation()}
 	}
-	return unknown{
-		reason:   c.GetExplanation(),
-		deadline: c.GetReason() == burdockwire.CutReason_CUT_REASON_DEADLINE,
-		ran:      c.GetReason() == burdockwire.CutReason_CUT_REASON_ANSWER_GONE,
-		byKey:    c.GetReason() == burdockwire.CutReason_CUT_REASON_ANSWER_GONE || c.GetReason() == burdockwire.CutReason_CUT_REASON_KEY_MAY_HAVE_RUN,
+	return unknownOutcome{
+		reason:           c.GetExplanation(),
+		deadlineExceeded: c.GetReason() == burdockwire.CutReason_CUT_REASON_DEADLINE,
+		completed:        c.GetReason() == burdockwire.CutReason_CUT_REASON_ANSWER_GONE,
+		fromKeyRecord:    c.GetReason() == burdockwire.CutReason_CUT_REASON_ANSWER_GONE || c.GetReason() == burdockwire.CutReason_CUT_REASON_KEY_MAY_HAVE_RUN,
 	}
 }
 
 func (a *attempt) runRequest() *burdockwire.RunRequest {
-	req := a.offers.req
+	req := a.dispatcher.req
 	return &burdockwire.RunRequest{
 		RequestId:      string(req.id),
 		Upstream:       string(a.target.Name),
@@ -269,47 +272,47 @@
 		PriorityClass:  req.class,
 		CostTokens:     int64(req.cost),
 		PromptTokens:   int64(req.promptTokens),
-		TimeoutMillis:  int64(max(req.deadline-a.offers.now(), 1)),
-		IdempotencyKey: string(req.key),
+		TimeoutMillis:  int64(max(req.deadline-a.dispatcher.now(), 1)),
+		IdempotencyKey: string(req.idempotencyKey),
 		Method:         req.method,
 		Path:           req.path,
 		Query:          req.query,
 		Headers:        req.headers,
 		Body:           req.body,
 		EventStream:    req.eventStream,
-		ConfigDigest:   uint64(a.offers.entry.deps.Fleet.Now().Digest),
+		ConfigDigest:   uint64(a.dispatcher.entry.deps.Fleet.Now().Digest),
 		MaxLoad:        a.maxLoad,
 	}
 }
 
 func (a *attempt) attachRequest() *burdockwire.AttachRequest {
 	return &burdockwire.AttachRequest{
-		RequestId: string(a.offers.req.id),
+		RequestId: string(a.dispatcher.req.id),
 		Upstream:  string(a.target.Name),
 		Offset:    a.offset,
-		AgeMillis: int64(a.offers.now() - a.began),
+		AgeMillis: int64(a.dispatcher.now() - a.startedAt),
 	}
 }
 
-// withdraw tells the agent that nobody waits any longer.
-func (a *attempt) withdraw(client burdockwire.AgentServiceClient) {
-	a.offers.entry.meters.withdrawals.Inc()
-	a.offers.entry.done.Add(1)
-	go (&withdrawal{entry: a.offers.entry, client: client, id: a.offers.req.id}).run()
+// cancelAtAgent cancels the request at the agent, in the background.
+func (a *attempt) cancelAtAgent(client burdockwire.AgentServiceClient) {
+	a.dispatcher.entry.meters.cancellations.Inc()
+	a.dispatcher.entry.wg.Add(1)
+	go (&cancellation{entry: a.dispatcher.entry, client: client, id: a.dispatcher.req.id}).run()
 }
 
-// withdrawal cancels a request at an agent.
-type withdrawal struct {
+// cancellation is a call that cancels a request at an agent.
+type cancellation struct {
 	entry  *Entry
 	client burdockwire.AgentServiceClient
 	id     burdockid.Request
 }
 
-func (w *withdrawal) run() {
-	defer w.entry.done.Done()
-	ctx, cancel := context.WithTimeout(context.Background(), cancelWait)
+func (c *cancellation) run() {
+	defer c.entry.wg.Done()
+	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
-	// A lost cancellation costs the slot until the agent finds that nobody
-	// reads the answer.
-	_, _ = w.client.Cancel(ctx, connect.NewRequest(&burdockwire.CancelRequest{RequestId: string(w.id)}))
+	// If the call fails, the request keeps its slot until the agent notices that nobody
+	// reads the response.
+	_, _ = c.client.Cancel(ctx, connect.NewRequest(&burdockwire.CancelRequest{RequestId: string(c.id)}))
 }
--- a/internal/serve/burdockentry/dump.go
+++ b/internal/serve/burdockentry/dump.go
@@ -11,7 +11,7 @@
 	"burdockbend.example/burdockbend/internal/decide/burdockretry"
 )
 
-// State is what a dump shows of an entry.
+// State is an entry's part of the state dump.
 type State struct {
 	VM            burdockid.VM         `json:"vm"`
 	DataCentre    burdockid.DataCentre `json:"dataCentre"`
@@ -21,7 +21,7 @@
 	Services      []PoolState          `json:"services"`
 }
 
-// PoolState is what a dump shows of the upstreams of one service.
+// PoolState is the part of the state dump on the upstreams of one service.
 type PoolState struct {
 	Service   burdockid.Service  `json:"service"`
 	Placement burdockplace.State `json:"placing"`
@@ -31,14 +31,14 @@
 	Decisions []decision         `json:"decisions"`
 }
 
-// State returns a copy of what the entry knows.
+// State returns a copy of the entry's state.
 func (e *Entry) State() State {
 	s := State{
 		VM:            e.cfg.VM,
 		DataCentre:    e.cfg.DataCentre,
 		Draining:      e.Draining(),
-		OpenRequests:  e.open.Load(),
-		OutcomeCounts: e.accounts.copy(),
+		OpenRequests:  e.openRequests.Load(),
+		OutcomeCounts: e.outcomes.copy(),
 		Services:      []PoolState{},
 	}
 	e.mu.Lock()
@@ -59,6 +59,6 @@
 		Ejection:  p.tracker.State(),
 		Health:    p.health.dump(),
 		Retries:   p.budget.State(now),
-		Decisions: slices.Clone(p.last),
+		Decisions: slices.Clone(p.recentDecisions),
 	}
 }
--- a/internal/serve/burdockentry/entry.go
+++ b/internal/serve/burdockentry/entry.go
@@ -1,6 +1,6 @@
-// Package burdockentry is the process that callers speak to: it knows the
-// customer, places a request on an upstream through its agent, and passes the
-// answer back, whole and once.
+// Package burdockentry implements the entry, the process that accepts callers'
+// requests. It authenticates the customer, offers the request to upstreams through
+// their agents, and forwards the complete response, each byte exactly once.
 package burdockentry
 
 import (
@@ -20,17 +20,17 @@
 	"go.uber.org/zap"
 )
 
-// tick is how often an entry looks for new configuration and due probes.
-const tick = 250 * time.Millisecond
+// tickInterval is how often an entry applies new configuration and starts due probes.
+const tickInterval = 250 * time.Millisecond
 
-// Config is what an entry is told at its start.
+// Config holds the settings of an entry.
 type Config struct {
 	VM         burdockid.VM
 	DataCentre burdockid.DataCentre
 	Limits     burdocksettings.Limits
 }
 
-// Deps is what an entry works with.
+// Deps holds the dependencies of an entry.
 type Deps struct {
 	Clock burdockclock.Clock
 	Fleet *burdockfleet.Fleet
@@ -38,29 +38,29 @@
 	// Membership is the platform's membership list; nil when there is none.
 	Membership burdocklist.List
 	Log        *zap.Logger
-	// Metrics takes the entry's metrics.
+	// Metrics is the set that the entry registers its metrics in.
 	Metrics *metrics.Set
-	// Seed is what all random choices of the entry follow from.
+	// Seed determines the random choices of placement, ejection and retries.
 	Seed uint64
 }
 
 // Entry serves callers.
 type Entry struct {
-	cfg      Config
-	deps     Deps
-	draining atomic.Bool
-	open     atomic.Int64
-	accounts accounts
-	meters   meters
-	stop     chan struct{}
-	done     sync.WaitGroup
-
-	mu     sync.Mutex
-	pools  map[burdockid.Service]*pool
-	seeded uint64
+	cfg          Config
+	deps         Deps
+	draining     atomic.Bool
+	openRequests atomic.Int64
+	outcomes     outcomes
+	meters       meters
+	stop         chan struct{}
+	wg           sync.WaitGroup
+
+	mu           sync.Mutex
+	pools        map[burdockid.Service]*pool
+	poolsCreated uint64
 }
 
-// New returns an entry. Its loop must be started with Start.
+// New returns an entry. Start must be called to run its background tasks.
 func New(cfg Config, deps Deps) *Entry {
 	e := &Entry{
 		cfg:   cfg,
@@ -72,70 +72,71 @@
 	return e
 }
 
-// Start begins the entry's own work.
+// Start starts the background tasks.
 func (e *Entry) Start() {
-	e.done.Add(1)
+	e.wg.Add(1)
 	go e.loop()
 	if e.deps.Membership != nil {
-		e.done.Add(1)
-		go (&listing{entry: e, states: map[burdockid.VM]burdocklist.State{}}).loop()
+		e.wg.Add(1)
+		go (&membershipWatcher{entry: e, states: map[burdockid.VM]burdocklist.State{}}).loop()
 	}
 }
 
-// Close ends the entry's own work.
+// Close stops the background tasks and waits for them.
 func (e *Entry) Close() {
 	close(e.stop)
-	e.done.Wait()
+	e.wg.Wait()
 }
 
 func (e *Entry) loop() {
-	defer e.done.Done()
-	ticker := time.NewTicker(tick)
+	defer e.wg.Done()
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-e.stop:
 			return
 		case <-ticker.C:
-			e.advance()
+			e.updatePools()
 		}
 	}
 }
 
-func (e *Entry) advance() {
+func (e *Entry) updatePools() {
 	fleet := e.deps.Fleet.Now()
 	for service := range fleet.Services {
 		p := e.pool(fleet, service)
-		for _, target := range p.due(e.deps.Clock.Boot()) {
-			e.done.Add(1)
+		for _, target := range p.dueProbes(e.deps.Clock.Boot()) {
+			e.wg.Add(1)
 			go (&probe{entry: e, pool: p, target: target}).run()
 		}
 	}
 }
 
-// pool returns the pool of a service, up to date with the fleet.
+// pool returns the pool of a service with the fleet snapshot applied. It creates the
+// pool if there is none yet.
 func (e *Entry) pool(fleet *burdockfleet.Snapshot, service burdockid.Service) *pool {
 	e.mu.Lock()
 	p, ok := e.pools[service]
 	if !ok {
-		e.seeded++
-		p = newPool(service, e.cfg.DataCentre, rand.NewPCG(e.deps.Seed, e.seeded))
+		e.poolsCreated++
+		p = newPool(service, e.cfg.DataCentre, rand.NewPCG(e.deps.Seed, e.poolsCreated))
 		e.pools[service] = p
-		e.meters.watch(p)
+		e.meters.addPoolGauges(p)
 	}
 	e.mu.Unlock()
-	p.follow(e.deps.Clock.Boot(), fleet)
+	p.applySnapshot(e.deps.Clock.Boot(), fleet)
 	return p
 }
 
-// Drain says that the process is about to stop. Requests are still served.
+// Drain marks the process as about to stop. Requests are still served.
 func (e *Entry) Drain() { e.draining.Store(true) }
 
 // Draining reports whether Drain was called.
 func (e *Entry) Draining() bool { return e.draining.Load() }
 
 // Idle reports whether no request is open.
-func (e *Entry) Idle() bool { return e.open.Load() == 0 }
+func (e *Entry) Idle() bool { return e.openRequests.Load() == 0 }
 
-// Handler returns what callers are served by.
+// Handler returns the HTTP handler for callers.
 func (e *Entry) Handler() http.Handler { return http.HandlerFunc(e.serve) }
--- a/internal/serve/burdockentry/fuzz_test.go
+++ b/internal/serve/burdockentry/fuzz_test.go
@@ -16,7 +16,7 @@
 		h.Add("Connection", connection)
 		h.Add(name, value)
 		arrived := false
-		for _, got := range forwarded(h) {
+		for _, got := range forwardedHeaders(h) {
 			canonical := http.CanonicalHeaderKey(got.GetName())
 			if canonical == "Authorization" || hopHeaders[canonical] || strings.HasPrefix(canonical, headerPrefix) {
 				t.Errorf("passed on: %q", got.GetName())
--- a/internal/serve/burdockentry/health.go
+++ b/internal/serve/burdockentry/health.go
@@ -11,12 +11,12 @@
 	"burdockbend.example/burdockbend/internal/state/burdockcharts"
 )
 
-// healthEvents is how many past events a dump shows for each service.
-const healthEvents = 32
+// maxHealthEvents is the number of past events per service in the state dump.
+const maxHealthEvents = 32
 
-// health follows upstream.chart for the upstreams that are not healthy. The
-// tracker decides; the chart says what may follow what, and the journal tells
-// an operator how an upstream came to where it stands.
+// health runs the state machine of upstream.chart for each upstream that is not
+// healthy. The ejection tracker decides; the chart defines the valid transitions, and
+// the journal shows an operator how an upstream came to its state.
 type health struct {
 	machines map[burdockid.Upstream]*burdockcharts.UpstreamMachine
 	journal  *burdockchart.Journal
@@ -25,38 +25,39 @@
 func newHealth() *health {
 	return &health{
 		machines: map[burdockid.Upstream]*burdockcharts.UpstreamMachine{},
-		journal:  burdockchart.NewJournal(healthEvents),
+		journal:  burdockchart.NewJournal(maxHealthEvents),
 	}
 }
 
-// fire takes an event of one upstream. An event that the chart rejects shows
-// in the journal: the tracker and the chart disagree, which is a fault.
+// fire applies an event to the state machine of one upstream. If the chart rejects the
+// event, the journal shows it: the tracker and the chart disagree, which is a bug.
 func (h *health) fire(now burdockclock.Millis, u burdockid.Upstream, e burdockcharts.UpstreamEvent, reason string) {
-	machine, known := h.machines[u]
-	if !known {
-		fresh := burdockcharts.NewUpstream()
-		machine = &fresh
+	machine, exists := h.machines[u]
+	if !exists {
+		created := burdockcharts.NewUpstream()
+		machine = &created
 		h.machines[u] = machine
 	}
 	from := machine.State()
-	moved, err := machine.Fire(e)
+	changed, err := machine.Fire(e)
 	if err != nil {
 		reason = err.Error()
 	}
-	if moved || err != nil {
+	if changed || err != nil {
 		h.journal.Add(burdockchart.Entry{
 			At: now, Event: string(u) + " " + string(e), From: string(from), To: string(machine.State()), Reason: reason,
 		})
 	}
 	switch machine.State() {
 	case burdockcharts.UpstreamHealthy, burdockcharts.UpstreamGone:
-		// Nothing is held against it, or a new incarnation starts anew.
+		// A healthy upstream needs no machine, and a new incarnation starts with a new
+		// one.
 		delete(h.machines, u)
 	}
 }
 
-// change takes in a decision of the tracker.
-func (h *health) change(now burdockclock.Millis, c burdockeject.Change) {
+// applyChange fires the event that belongs to a change by the tracker.
+func (h *health) applyChange(now burdockclock.Millis, c burdockeject.Change) {
 	reason := string(c.Cause)
 	switch {
 	case c.Cause == burdockeject.CauseLeaving:
@@ -74,7 +75,7 @@
 	}
 }
 
-// state returns the state of an upstream.
+// state returns the state of an upstream. One without a machine is healthy.
 func (h *health) state(u burdockid.Upstream) burdockcharts.UpstreamState {
 	if machine, ok := h.machines[u]; ok {
 		return machine.State()
@@ -82,8 +83,8 @@
 	return burdockcharts.UpstreamHealthy
 }
 
-// keep forgets upstreams that are no longer members.
-func (h *health) keep(now burdockclock.Millis, isMember func(burdockid.Upstream) bool) {
+// removeNonMembers removes the upstreams that are no longer members.
+func (h *health) removeNonMembers(now burdockclock.Millis, isMember func(burdockid.Upstream) bool) {
 	for u := range h.machines {
 		if !isMember(u) {
 			h.fire(now, u, burdockcharts.UpstreamEventVanish, "no longer in the fleet")
@@ -91,14 +92,14 @@
 	}
 }
 
-// HealthState is what a dump shows of the upstreams of one service that are
+// HealthState is the part of the state dump on the upstreams of one service that are
 // not healthy.
 type HealthState struct {
 	Upstreams []UnhealthyState     `json:"upstreams"`
 	Events    []burdockchart.Entry `json:"events"`
 }
 
-// UnhealthyState is what a dump shows of one upstream.
+// UnhealthyState is the state of one upstream that is not healthy.
 type UnhealthyState struct {
 	Upstream burdockid.Upstream          `json:"upstream"`
 	State    burdockcharts.UpstreamState `json:"state"`
--- a/internal/serve/burdockentry/health_test.go
+++ b/internal/serve/burdockentry/health_test.go
@@ -27,25 +27,25 @@
 			t.Errorf("state: got %s, want %s", got, want)
 		}
 	}
-	h.change(1, change(burdockeject.LevelHalf, burdockeject.CauseFailing))
+	h.applyChange(1, change(burdockeject.LevelHalf, burdockeject.CauseFailing))
 	step(burdockcharts.UpstreamSuspect)
-	h.change(2, change(burdockeject.LevelQuarter, burdockeject.CauseFailing))
+	h.applyChange(2, change(burdockeject.LevelQuarter, burdockeject.CauseFailing))
 	step(burdockcharts.UpstreamSuspect)
-	h.change(3, change(burdockeject.LevelEjected, burdockeject.CauseFailing))
+	h.applyChange(3, change(burdockeject.LevelEjected, burdockeject.CauseFailing))
 	step(burdockcharts.UpstreamEjected)
 	h.fire(4, "u", burdockcharts.UpstreamEventProbe, "")
 	step(burdockcharts.UpstreamProbing)
 	h.fire(5, "u", burdockcharts.UpstreamEventProbeFailed, "")
 	step(burdockcharts.UpstreamEjected)
 	h.fire(6, "u", burdockcharts.UpstreamEventProbe, "")
-	h.change(7, change(burdockeject.LevelQuarter, burdockeject.CauseRecovered))
+	h.applyChange(7, change(burdockeject.LevelQuarter, burdockeject.CauseRecovered))
 	step(burdockcharts.UpstreamSuspect)
-	h.change(8, change(burdockeject.LevelHalf, burdockeject.CauseRecovered))
-	h.change(9, change(burdockeject.LevelFull, burdockeject.CauseRecovered))
+	h.applyChange(8, change(burdockeject.LevelHalf, burdockeject.CauseRecovered))
+	h.applyChange(9, change(burdockeject.LevelFull, burdockeject.CauseRecovered))
 	step(burdockcharts.UpstreamHealthy)
-	h.change(10, change(burdockeject.LevelEjected, burdockeject.CauseLeaving))
+	h.applyChange(10, change(burdockeject.LevelEjected, burdockeject.CauseLeaving))
 	step(burdockcharts.UpstreamLeaving)
-	h.change(11, change(burdockeject.LevelFull, burdockeject.CauseRecovered))
+	h.applyChange(11, change(burdockeject.LevelFull, burdockeject.CauseRecovered))
 	step(burdockcharts.UpstreamHealthy)
 	var got []string
 	for _, e := range h.dump().Events {
@@ -68,17 +68,17 @@
 	p.members = map[burdockid.Upstream]burdockmember.Upstream{"u1": {Name: "u1"}, "u2": {Name: "u2"}, "u3": {Name: "u3"}}
 	p.tracker.SetMembers(0, []burdockid.Upstream{"u1", "u2", "u3"})
 	now := 10 * burdockclock.Second
-	p.presence(now, "u1", "first", true)
-	p.due(now)
-	if got := p.due(now + askLeavingSoon); len(got) != 1 || got[0].Name != "u1" {
+	p.observeIncarnation(now, "u1", "first", true)
+	p.dueProbes(now)
+	if got := p.dueProbes(now + shortLeavingProbeInterval); len(got) != 1 || got[0].Name != "u1" {
 		t.Errorf("a third leaves: got %v asked, want u1", got)
 	}
 	for i := range 6 {
 		name := burdockid.Upstream(fmt.Sprint("more", i))
 		p.members[name] = burdockmember.Upstream{Name: name}
 	}
-	p.due(now + 2*askLeavingSoon)
-	if got := p.due(now + 3*askLeavingSoon); len(got) != 0 {
+	p.dueProbes(now + 2*shortLeavingProbeInterval)
+	if got := p.dueProbes(now + 3*shortLeavingProbeInterval); len(got) != 0 {
 		t.Errorf("one of many leaves: got %v asked, want none yet", got)
 	}
 }
--- a/internal/serve/burdockentry/metrics.go
+++ b/internal/serve/burdockentry/metrics.go
@@ -10,81 +10,80 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// firstByteBounds are upper bounds in seconds, from a plain call's answer to a
-// long wait in a queue.
+// firstByteBounds are upper bounds in seconds, from the response time of a plain
+// request to a long wait in a queue.
 var firstByteBounds = []float64{.002, .005, .01, .02, .05, .1, .2, .5, 1, 2, 5, 10, 30, 60}
 
-// noService is the label of requests that were rejected before their service
+// noService is the service label of requests that were rejected before their service
 // was known.
 const noService = "none"
 
-// meters are an entry's metrics. Labels are taken from the configuration and
-// from the program's own constants, never from what a caller sent, so their
-// number is bounded.
+// meters holds an entry's metrics. Label values come from the configuration and from
+// constants, never from callers, so their number is bounded.
 type meters struct {
-	set         *metrics.Set
-	retries     *metrics.Counter
-	attachments *metrics.Counter
-	withdrawals *metrics.Counter
+	set           *metrics.Set
+	retries       *metrics.Counter
+	attachments   *metrics.Counter
+	cancellations *metrics.Counter
 }
 
 func newMeters(e *Entry, set *metrics.Set) meters {
-	set.NewGauge("burdock_entry_open_requests", func() float64 { return float64(e.open.Load()) })
+	set.NewGauge("burdock_entry_open_requests", func() float64 { return float64(e.openRequests.Load()) })
 	return meters{
-		set:         set,
-		retries:     set.NewCounter("burdock_entry_retries_total"),
-		attachments: set.NewCounter("burdock_entry_attachments_total"),
-		withdrawals: set.NewCounter("burdock_entry_withdrawals_total"),
+		set:           set,
+		retries:       set.NewCounter("burdock_entry_retries_total"),
+		attachments:   set.NewCounter("burdock_entry_attachments_total"),
+		cancellations: set.NewCounter("burdock_entry_withdrawals_total"),
 	}
 }
 
-// watch adds the gauges of one service's upstreams.
-func (m meters) watch(p *pool) {
-	m.set.NewGauge(fmt.Sprintf("burdock_entry_upstreams{service=%q}", p.service), func() float64 { return float64(p.upstreams()) })
-	m.set.NewGauge(fmt.Sprintf("burdock_entry_ejected_upstreams{service=%q}", p.service), func() float64 { return float64(p.ejected()) })
+// addPoolGauges registers the gauges of one service's pool.
+func (m meters) addPoolGauges(p *pool) {
+	m.set.NewGauge(fmt.Sprintf("burdock_entry_upstreams{service=%q}", p.service), func() float64 { return float64(p.upstreamCount()) })
+	m.set.NewGauge(fmt.Sprintf("burdock_entry_ejected_upstreams{service=%q}", p.service), func() float64 { return float64(p.ejectedCount()) })
 }
 
-// ended counts the end of one request.
-func (m meters) ended(service burdockid.Service, end ending) {
+// requestEnded counts the end of one request.
+func (m meters) requestEnded(service burdockid.Service, end requestEnd) {
 	if service == "" {
 		service = noService
 	}
 	m.set.GetOrCreateCounter(fmt.Sprintf("burdock_entry_requests_total{service=%q,outcome=%q}", service, end.outcome)).Inc()
-	if end.begun {
+	if end.hasFirstByte {
 		m.firstByte(service, end.firstByte)
 	}
 }
 
-func (m meters) firstByte(service burdockid.Service, after burdockclock.Millis) {
+func (m meters) firstByte(service burdockid.Service, delay burdockclock.Millis) {
 	name := fmt.Sprintf("burdock_entry_first_byte_seconds{service=%q}", service)
-	m.set.GetOrCreatePrometheusHistogramExt(name, firstByteBounds).Update(after.Duration().Seconds())
+	m.set.GetOrCreatePrometheusHistogramExt(name, firstByteBounds).Update(delay.Duration().Seconds())
 }
 
-// rejected counts a request that was wrong in itself.
-func (m meters) rejected(code burdockapi.Code) {
+// requestRejected counts a request that was rejected without an offer.
+func (m meters) requestRejected(code burdockapi.Code) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("burdock_entry_rejected_total{code=%q}", code)).Inc()
 }
 
-// refused counts an agent's refusal of an offer.
-func (m meters) refused(reason burdockwire.RefusedReason) {
+// offerRefused counts an agent's refusal of an offer.
+func (m meters) offerRefused(reason burdockwire.RefusedReason) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("burdock_entry_refusals_total{reason=%q}", reason.Name())).Inc()
 }
 
-// upstreams returns how many upstreams the service has.
-func (p *pool) upstreams() int {
+// upstreamCount returns the number of upstreams of the service.
+func (p *pool) upstreamCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.members)
 }
 
-// ejected returns how many upstreams get less than their share of work, or
-// none, because of what was seen of them.
-func (p *pool) ejected() int {
+// ejectedCount returns the number of upstreams whose weight is reduced because of
+// failures or slowness. Leaving upstreams don't count.
+func (p *pool) ejectedCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
 	for name := range p.members {
-		if _, leaves := p.leaving[name]; !leaves && p.tracker.Weight(name) < 1 {
+		if _, leaving := p.leaving[name]; !leaving && p.tracker.Weight(name) < 1 {
 			n++
 		}
 	}
--- a/internal/serve/burdockentry/pool.go
+++ b/internal/serve/burdockentry/pool.go
@@ -17,28 +17,29 @@
 	"burdockbend.example/burdockbend/internal/wire/burdockwire"
 )
 
-// lastDecisions is how many choices a dump shows for each service.
-const lastDecisions = 16
+// maxRecentDecisions is the number of decisions per service in the state dump.
+const maxRecentDecisions = 16
 
-// askLeavingEvery is how often an entry asks a leaving upstream whether a new
-// process has taken its place. At 350 entries that is 70 calls a second for
-// an agent that serves nothing else.
-const askLeavingEvery = 5 * burdockclock.Second
+// leavingProbeInterval is how often an entry asks leaving upstreams whether a new
+// process has replaced them. With 350 entries an agent gets 70 of these calls a second,
+// at a time when it serves nothing else.
+const leavingProbeInterval = 5 * burdockclock.Second
 
 const (
-	// askLeavingSoon takes its place while every leavingShare-th upstream leaves.
+	// shortLeavingProbeInterval replaces leavingProbeInterval while at least one in
+	// leavingShareDivisor upstreams is leaving.
 	//
-	// Failure: the upstreams of a small service are restarted one after the
-	// other, each within the time between two questions. Symptom: an entry
-	// believes that all are leaving, and refuses every request though most are
-	// back. A service in which a third leave has few members, or is restarted
-	// whole; some calls a second to each are nothing against its traffic.
-	askLeavingSoon = burdockclock.Second / 4
-	leavingShare   = 3
+	// When the upstreams of a small service restart one after the other, each within
+	// leavingProbeInterval, an entry that uses the long interval sees all of them as
+	// leaving and refuses every request although most are back. A service of which a
+	// third is leaving has few members or restarts as a whole, so a few calls a second
+	// to each are negligible compared with its traffic.
+	shortLeavingProbeInterval = burdockclock.Second / 4
+	leavingShareDivisor       = 3
 )
 
-// pool is what an entry knows of the upstreams of one service. It puts a lock
-// around the pure decisions.
+// pool holds what an entry knows about the upstreams of one service. Its lock guards
+// the placer, the ejection tracker and the retry budget.
 type pool struct {
 	service    burdockid.Service
 	dataCentre burdockid.DataCentre
@@ -52,15 +53,15 @@
 	retry   burdockprofile.Retry
 	random  *rand.Rand
 	members map[burdockid.Upstream]burdockmember.Upstream
-	// incarnations holds which run of its agent each upstream was last heard of.
+	// incarnations holds the incarnation that each upstream's agent last reported.
 	incarnations map[burdockid.Upstream]burdockid.Incarnation
-	// leaving holds the upstreams that stop, by the incarnation that does.
-	leaving      map[burdockid.Upstream]burdockid.Incarnation
-	askedLeaving burdockclock.Millis
-	last         []decision
+	// leaving maps each leaving upstream to the incarnation that is stopping.
+	leaving         map[burdockid.Upstream]burdockid.Incarnation
+	leavingProbedAt burdockclock.Millis
+	recentDecisions []decision
 }
 
-// decision is one choice, for the dump.
+// decision is one choice of an upstream, for the state dump.
 type decision struct {
 	At         burdockclock.Millis `json:"at"`
 	Request    burdockid.Request   `json:"request"`
@@ -76,22 +77,22 @@
 		service:    service,
 		dataCentre: dc,
 		random:     random,
-		placer:     burdockplace.New(burdockplace.Config{}, derive(random)),
+		placer:     burdockplace.New(burdockplace.Config{}, deriveRand(random)),
 		health:     newHealth(),
-		tracker:    burdockeject.New(burdockeject.Config{}, derive(random)),
-		budget:     burdockretry.New(burdockretry.Config{}, derive(random)),
+		tracker:    burdockeject.New(burdockeject.Config{}, deriveRand(random)),
+		budget:     burdockretry.New(burdockretry.Config{}, deriveRand(random)),
 		leaving:    map[burdockid.Upstream]burdockid.Incarnation{},
 
 		incarnations: map[burdockid.Upstream]burdockid.Incarnation{},
 	}
 }
 
-func derive(random *rand.Rand) *rand.Rand {
+func deriveRand(random *rand.Rand) *rand.Rand {
 	return rand.New(rand.NewPCG(random.Uint64(), random.Uint64()))
 }
 
-// follow takes up new members and a new profile.
-func (p *pool) follow(now burdockclock.Millis, fleet *burdockfleet.Snapshot) {
+// applySnapshot applies the members and the retry settings of a fleet snapshot.
+func (p *pool) applySnapshot(now burdockclock.Millis, fleet *burdockfleet.Snapshot) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.members != nil && p.digest == fleet.Digest {
@@ -100,7 +101,7 @@
 	p.digest = fleet.Digest
 	if retry := fleet.Profile(p.service).Retry; retry != p.retry {
 		p.retry = retry
-		p.budget = burdockretry.New(burdockretry.Config{RetryRatio: retry.BudgetRatio, MaxOffers: retry.MaxAttempts}, derive(p.random))
+		p.budget = burdockretry.New(burdockretry.Config{RetryRatio: retry.BudgetRatio, MaxOffers: retry.MaxAttempts}, deriveRand(p.random))
 	}
 	p.members = map[burdockid.Upstream]burdockmember.Upstream{}
 	names := []burdockid.Upstream{}
@@ -109,7 +110,7 @@
 		names = append(names, u.Name)
 	}
 	p.tracker.SetMembers(now, names)
-	p.health.keep(now, func(u burdockid.Upstream) bool { _, ok := p.members[u]; return ok })
+	p.health.removeNonMembers(now, func(u burdockid.Upstream) bool { _, ok := p.members[u]; return ok })
 	members := make([]burdockplace.Member, len(names))
 	for i, name := range names {
 		members[i] = burdockplace.Member{Upstream: name, DataCentre: p.members[name].DataCentre, Weight: p.tracker.Weight(name)}
@@ -117,55 +118,55 @@
 	p.placer.SetMembers(now, members)
 }
 
-// choose places one offer of a request.
-func (p *pool) choose(now burdockclock.Millis, o *offers) (burdockmember.Upstream, burdockplace.Choice, bool) {
+// choose selects the upstream for an offer and records the offer.
+func (p *pool) choose(now burdockclock.Millis, d *dispatcher) (burdockmember.Upstream, burdockplace.Choice, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	choice, ok := p.placer.Choose(now, burdockplace.Request{
-		Prefix:     o.req.prefix,
+		Prefix:     d.req.prefix,
 		DataCentre: p.dataCentre,
-		Cost:       o.req.cost,
-		Attempt:    o.overBound,
-		Exclude:    o.excluded,
+		Cost:       d.req.cost,
+		Attempt:    d.overLoadBound,
+		Exclude:    d.excluded,
 	})
 	if !ok {
 		return burdockmember.Upstream{}, choice, false
 	}
-	p.begin(now, o, choice)
+	p.recordOfferLocked(now, d, choice)
 	return p.members[choice.Upstream], choice, true
 }
 
-// sent records an offer that was not placed by choice.
-func (p *pool) sent(now burdockclock.Millis, o *offers, choice burdockplace.Choice) {
+// recordOffer records an offer to an upstream that the placer did not choose.
+func (p *pool) recordOffer(now burdockclock.Millis, d *dispatcher, choice burdockplace.Choice) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.begin(now, o, choice)
+	p.recordOfferLocked(now, d, choice)
 }
 
-func (p *pool) begin(now burdockclock.Millis, o *offers, choice burdockplace.Choice) {
-	p.placer.Sent(now, choice.Upstream, o.req.cost)
-	p.note(decision{
-		At: now, Request: o.req.id, Upstream: choice.Upstream,
-		Reason: string(choice.Reason), Candidates: choice.Candidates, Offer: o.made + 1,
+func (p *pool) recordOfferLocked(now burdockclock.Millis, d *dispatcher, choice burdockplace.Choice) {
+	p.placer.Sent(now, choice.Upstream, d.req.cost)
+	p.addDecision(decision{
+		At: now, Request: d.req.id, Upstream: choice.Upstream,
+		Reason: string(choice.Reason), Candidates: choice.Candidates, Offer: d.offersMade + 1,
 	})
 }
 
-func (p *pool) note(d decision) {
-	p.last = append(p.last, d)
-	if len(p.last) > lastDecisions {
-		p.last = p.last[1:]
+func (p *pool) addDecision(d decision) {
+	p.recentDecisions = append(p.recentDecisions, d)
+	if len(p.recentDecisions) > maxRecentDecisions {
+		p.recentDecisions = p.recentDecisions[1:]
 	}
 }
 
-// done ends an offer.
-func (p *pool) done(now burdockclock.Millis, u burdockid.Upstream, cost burdockid.Tokens) {
+// offerEnded records the end of an offer.
+func (p *pool) offerEnded(now burdockclock.Millis, u burdockid.Upstream, cost burdockid.Tokens) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.placer.Done(now, u, cost)
 }
 
-// report takes in the load that an agent tells on an answer.
-func (p *pool) report(now burdockclock.Millis, u burdockid.Upstream, load *burdockwire.Load) {
+// reportLoad applies the load that an agent reported. A nil load is ignored.
+func (p *pool) reportLoad(now burdockclock.Millis, u burdockid.Upstream, load *burdockwire.Load) {
 	if load == nil {
 		return
 	}
@@ -178,100 +179,102 @@
 		QueuedCost:   burdockid.Tokens(load.GetQueuedCostTokens()),
 		ExpectedWait: burdockclock.Millis(load.GetExpectedWaitMillis()),
 	})
-	p.presence(now, u, burdockid.Incarnation(load.GetIncarnation()), load.GetLeaving())
+	p.observeIncarnation(now, u, burdockid.Incarnation(load.GetIncarnation()), load.GetLeaving())
 }
 
-// observe takes in what an offer tells of an upstream's health.
-func (p *pool) observe(now burdockclock.Millis, u burdockid.Upstream, o burdockeject.Observation) {
+// observeHealth passes what an offer or a probe showed about an upstream to the
+// ejection tracker.
+func (p *pool) observeHealth(now burdockclock.Millis, u burdockid.Upstream, o burdockeject.Observation) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c, changed := p.tracker.Observe(now, u, o)
-	p.change(now, c, changed)
+	p.applyChange(now, c, changed)
 }
 
-// presence takes in that a run of an agent's process is there, and whether it
-// said that it stops. A new run is not judged by what the one before it did.
+// observeIncarnation records the incarnation of an agent and whether it is leaving. A
+// new incarnation is not judged by the failures of the one before.
 //
-// The agent is the authority: the platform's membership list shows a stop up
-// to half a minute late.
-func (p *pool) presence(now burdockclock.Millis, u burdockid.Upstream, inc burdockid.Incarnation, leaving bool) {
+// The agent is authoritative: the platform's membership list shows a stop up to half a
+// minute late.
+func (p *pool) observeIncarnation(now burdockclock.Millis, u burdockid.Upstream, inc burdockid.Incarnation, leaving bool) {
 	p.incarnations[u] = inc
-	last, left := p.leaving[u]
+	leavingInc, wasLeaving := p.leaving[u]
 	switch {
-	case leaving && !left:
+	case leaving && !wasLeaving:
 		p.leaving[u] = inc
 		c, changed := p.tracker.MarkLeaving(now, u)
-		p.change(now, c, changed)
-	case !leaving && left && last != inc:
+		p.applyChange(now, c, changed)
+	case !leaving && wasLeaving && leavingInc != inc:
 		delete(p.leaving, u)
 		c, changed := p.tracker.Reset(now, u)
-		p.change(now, c, changed)
+		p.applyChange(now, c, changed)
 	}
 }
 
-// listedLeaving takes in that the platform's list has come to show the VM of an
-// upstream as leaving or gone.
+// markLeavingFromList marks an upstream as leaving because the platform's membership
+// list no longer shows its VM as live.
 //
-// Load: a VM is taken away while its agent is frozen or cut off and can't say
-// so itself. The list lags, so it may speak of a run that is over; a run that
-// is heard of later is not bound by it.
-func (p *pool) listedLeaving(now burdockclock.Millis, u burdockid.Upstream) {
+// A VM may be removed while its agent is frozen or cut off and can't report it. The
+// list lags and may describe an earlier incarnation, so a new incarnation that reports
+// later overrides it.
+func (p *pool) markLeavingFromList(now burdockclock.Millis, u burdockid.Upstream) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if _, left := p.leaving[u]; left {
+	if _, wasLeaving := p.leaving[u]; wasLeaving {
 		return
 	}
-	if _, member := p.members[u]; member {
+	if _, isMember := p.members[u]; isMember {
 		p.leaving[u] = p.incarnations[u]
 		c, changed := p.tracker.MarkLeaving(now, u)
-		p.change(now, c, changed)
+		p.applyChange(now, c, changed)
 	}
 }
 
-func (p *pool) change(now burdockclock.Millis, c burdockeject.Change, changed bool) {
+func (p *pool) applyChange(now burdockclock.Millis, c burdockeject.Change, changed bool) {
 	if changed {
 		p.placer.SetWeight(c.Upstream, c.Weight)
-		p.health.change(now, c)
+		p.health.applyChange(now, c)
 	}
 }
 
-// probeFailed takes in that a probe found an upstream as it was.
+// probeFailed records that a probe of an upstream failed.
 func (p *pool) probeFailed(now burdockclock.Millis, u burdockid.Upstream) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.health.fire(now, u, burdockcharts.UpstreamEventProbeFailed, "can't be reached")
 }
 
-// due returns the upstreams that get no work and are to be asked how they are.
-func (p *pool) due(now burdockclock.Millis) []burdockmember.Upstream {
+// dueProbes returns the upstreams to probe now: ejected ones whose probe is due, and
+// from time to time those that are leaving.
+func (p *pool) dueProbes(now burdockclock.Millis) []burdockmember.Upstream {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var due []burdockmember.Upstream
+	var dueProbes []burdockmember.Upstream
 	for {
 		u, ok := p.tracker.NextProbe(now)
 		if !ok {
 			break
 		}
 		p.health.fire(now, u, burdockcharts.UpstreamEventProbe, "")
-		due = append(due, p.members[u])
+		dueProbes = append(dueProbes, p.members[u])
 	}
-	every := askLeavingEvery
-	if len(p.leaving)*leavingShare >= len(p.members) {
-		every = askLeavingSoon
+	interval := leavingProbeInterval
+	if len(p.leaving)*leavingShareDivisor >= len(p.members) {
+		interval = shortLeavingProbeInterval
 	}
-	if now-p.askedLeaving < every {
-		return due
+	if now-p.leavingProbedAt < interval {
+		return dueProbes
 	}
-	p.askedLeaving = now
+	p.leavingProbedAt = now
 	for u := range p.leaving {
 		if member, ok := p.members[u]; ok {
-			due = append(due, member)
+			dueProbes = append(dueProbes, member)
 		}
 	}
-	return due
+	return dueProbes
 }
 
-func (p *pool) succeeded(now burdockclock.Millis) {
+func (p *pool) recordSuccess(now burdockclock.Millis) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.budget.RecordSuccess(now)
@@ -283,7 +286,7 @@
 	return p.budget.Decide(now, a)
 }
 
-func (p *pool) noUpstream(now burdockclock.Millis) burdockretry.GiveUp {
+func (p *pool) giveUpNoUpstream(now burdockclock.Millis) burdockretry.GiveUp {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.budget.GiveUpNoUpstream(now)
--- a/internal/serve/burdockentry/probe.go
+++ b/internal/serve/burdockentry/probe.go
@@ -13,11 +13,12 @@
 
 const probeTimeout = 2 * time.Second
 
-// probe asks one upstream that gets no work how it is.
+// probe asks the agent of an upstream that gets no requests whether it can take them
+// again.
 //
-// Most requests may not run twice, so none of them is risked on an upstream
-// that may be broken: the probe runs nothing. One that passes comes back at a
-// quarter of its work, and real work judges it from there.
+// Most requests must not run twice, so none is risked on an upstream that may be
+// broken: a probe runs no request. An upstream that passes starts again with a quarter
+// of its weight and is then judged by its requests.
 type probe struct {
 	entry  *Entry
 	pool   *pool
@@ -25,23 +26,23 @@
 }
 
 func (p *probe) run() {
-	defer p.entry.done.Done()
+	defer p.entry.wg.Done()
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	res, err := p.entry.agent(p.target.Agent).Describe(ctx, connect.NewRequest(&burdockwire.DescribeRequest{}))
+	res, err := p.entry.agentClient(p.target.Agent).Describe(ctx, connect.NewRequest(&burdockwire.DescribeRequest{}))
 	now := p.entry.deps.Clock.Boot()
 	if err != nil || res.Msg.GetUpstream() != string(p.target.Name) || !res.Msg.GetUpstreamReachable() {
-		p.pool.observe(now, p.target.Name, burdockeject.ConnectFailed{})
+		p.pool.observeHealth(now, p.target.Name, burdockeject.ConnectFailed{})
 		p.pool.probeFailed(now, p.target.Name)
 		return
 	}
-	p.pool.report(now, p.target.Name, res.Msg.GetLoad())
+	p.pool.reportLoad(now, p.target.Name, res.Msg.GetLoad())
 	if !res.Msg.GetLoad().GetLeaving() {
-		p.pool.observe(now, p.target.Name, burdockeject.ProbeSucceeded{})
+		p.pool.observeHealth(now, p.target.Name, burdockeject.ProbeSucceeded{})
 	}
 }
 
-// agent returns a client of the agent at address.
-func (e *Entry) agent(address string) burdockwire.AgentServiceClient {
+// agentClient returns a client for the agent at address.
+func (e *Entry) agentClient(address string) burdockwire.AgentServiceClient {
 	return burdockwire.NewAgentServiceClient(e.deps.Peers.Client, e.deps.Peers.URL(address), burdocktransport.ClientOptions()...)
 }
--- a/internal/serve/burdockentry/problem.go
+++ b/internal/serve/burdockentry/problem.go
@@ -8,18 +8,20 @@
 	"burdockbend.example/burdockbend/internal/wire/burdockwire"
 )
 
-// problemOf says in the API's terms why a request was given up.
-func problemOf(g burdockretry.GiveUp, res result) *burdockapi.Problem {
+// problemFor returns the API problem for a request that is given up. res is the result
+// of the last offer, or of an earlier one if its outcome is unknown. It is nil when no
+// upstream was left.
+func problemFor(g burdockretry.GiveUp, res result) *burdockapi.Problem {
 	problem := &burdockapi.Problem{
 		Status: http.StatusServiceUnavailable, Code: burdockapi.CodeBusy, NotRun: true, RetryAfter: g.RetryAfter,
 		Message: "not run: " + string(g.Reason),
 	}
 	switch res := res.(type) {
-	case unknown:
-		return unknownProblem(res)
-	case notRun:
-		describe(problem, res.refusal)
-	case unreached:
+	case unknownOutcome:
+		return unknownOutcomeProblem(res)
+	case refused:
+		applyRefusal(problem, res.refusal)
+	case connectFailed:
 		problem.Code = burdockapi.CodeNoUpstream
 		problem.Message = "not run: no upstream could be reached"
 	case nil:
@@ -29,22 +31,22 @@
 	return problem
 }
 
-func unknownProblem(u unknown) *burdockapi.Problem {
-	if u.ran {
+func unknownOutcomeProblem(u unknownOutcome) *burdockapi.Problem {
+	if u.completed {
 		return &burdockapi.Problem{Status: http.StatusConflict, Code: burdockapi.CodeAnswerGone, Message: u.reason}
 	}
 	problem := &burdockapi.Problem{
 		Status: http.StatusBadGateway, Code: burdockapi.CodeOutcomeUnknown,
 		Message: "the outcome is unknown, the request may have run: " + u.reason,
 	}
-	if u.deadline {
+	if u.deadlineExceeded {
 		problem.Status = http.StatusGatewayTimeout
 	}
 	return problem
 }
 
-// describe turns an agent's refusal into what the caller is told.
-func describe(problem *burdockapi.Problem, refusal *burdockwire.Refused) {
+// applyRefusal sets the fields of problem from an agent's refusal.
+func applyRefusal(problem *burdockapi.Problem, refusal *burdockwire.Refused) {
 	problem.Message = "not run: " + refusal.GetExplanation()
 	switch refusal.GetReason() {
 	case burdockwire.RefusedReason_REFUSED_REASON_OVER_SHARE, burdockwire.RefusedReason_REFUSED_REASON_DISPLACED:
--- a/internal/serve/burdockentry/request.go
+++ b/internal/serve/burdockentry/request.go
@@ -19,43 +19,44 @@
 	"burdockbend.example/burdockbend/internal/wire/burdockwire"
 )
 
-// Headers of callers.
+// Headers of requests and responses, and constants for reading them.
 const (
-	headerClass   = "Burdock-Class"
-	headerTimeout = "Burdock-Timeout-Millis"
-	headerKey     = "Idempotency-Key"
-	headerID      = "Burdock-Request-Id"
-	headerPrefix  = "Burdock-"
-	bearerPrefix  = "Bearer "
-	// maxKeyBytes bounds what an agent keeps for each key.
-	maxKeyBytes = 255
-	// bytesPerToken converts the size of a plain call to the unit of shares.
+	headerClass          = "Burdock-Class"
+	headerTimeout        = "Burdock-Timeout-Millis"
+	headerIdempotencyKey = "Idempotency-Key"
+	headerID             = "Burdock-Request-Id"
+	headerPrefix         = "Burdock-"
+	bearerPrefix         = "Bearer "
+	// maxIdempotencyKeyBytes bounds what an agent stores for each key.
+	maxIdempotencyKeyBytes = 255
+	// bytesPerToken converts the body size of a plain request to tokens, in which
+	// shares are counted.
 	bytesPerToken = 4
 )
 
-// request is one caller's request, read and checked.
+// request is one caller's request, parsed and validated.
 type request struct {
-	id           burdockid.Request
-	customer     burdockid.Customer
-	service      burdockid.Service
-	class        string
-	key          burdockid.IdempotencyKey
-	idempotent   bool
-	eventStream  bool
-	prefix       []uint64
-	cost         burdockid.Tokens
-	promptTokens burdockid.Tokens
-	arrived      burdockclock.Millis
-	deadline     burdockclock.Millis
-	method       string
-	path         string
-	query        string
-	headers      []*burdockwire.Header
-	body         []byte
+	id             burdockid.Request
+	customer       burdockid.Customer
+	service        burdockid.Service
+	class          string
+	idempotencyKey burdockid.IdempotencyKey
+	idempotent     bool
+	eventStream    bool
+	prefix         []uint64
+	cost           burdockid.Tokens
+	promptTokens   burdockid.Tokens
+	receivedAt     burdockclock.Millis
+	deadline       burdockclock.Millis
+	method         string
+	path           string
+	query          string
+	headers        []*burdockwire.Header
+	body           []byte
 }
 
-// reader reads one caller's request.
-type reader struct {
+// requestReader parses and validates one caller's request.
+type requestReader struct {
 	entry *Entry
 	fleet *burdockfleet.Snapshot
 	w     http.ResponseWriter
@@ -63,41 +64,42 @@
 	req   *request
 }
 
-// read returns the request or what is wrong with it.
-func (rd *reader) read() *burdockapi.Problem {
-	steps := []func() *burdockapi.Problem{rd.checkHeaderSize, rd.authenticate, rd.readKey, rd.route}
+// read fills in the request. It returns a problem if the request is invalid.
+func (rd *requestReader) read() *burdockapi.Problem {
+	steps := []func() *burdockapi.Problem{rd.checkHeaderSize, rd.authenticate, rd.readIdempotencyKey, rd.route}
 	for _, step := range steps {
 		if problem := step(); problem != nil {
 			return problem
 		}
 	}
-	rd.req.headers = forwarded(rd.r.Header)
+	rd.req.headers = forwardedHeaders(rd.r.Header)
 	return nil
 }
 
-// headerOverhead is the colon, the blank and the line's end of one header.
+// headerOverhead is the length of the colon, the space and the line end of one header.
 const headerOverhead = 4
 
-// checkHeaderSize refuses headers beyond the limit. They are held, and sent on
-// to the agent, for as long as the request lasts.
-func (rd *reader) checkHeaderSize() *burdockapi.Problem {
-	size, most := len(rd.r.RequestURI), rd.entry.cfg.Limits.MaxHeaderBytes
+// checkHeaderSize rejects headers beyond the limit. They stay in memory, and are sent
+// to the agent, as long as the request is open.
+func (rd *requestReader) checkHeaderSize() *burdockapi.Problem {
+	size, maxSize := len(rd.r.RequestURI), rd.entry.cfg.Limits.MaxHeaderBytes
 	for name, values := range rd.r.Header {
 		for _, value := range values {
 			size += len(name) + len(value) + headerOverhead
 		}
 	}
-	if size <= most {
+	if size <= maxSize {
 		return nil
 	}
 	return &burdockapi.Problem{
 		Status: http.StatusRequestHeaderFieldsTooLarge, Code: burdockapi.CodeTooLarge, NotRun: true,
-		Message: "the headers must be no larger than " + strconv.Itoa(most) + " bytes",
+		Message: "the headers must be no larger than " + strconv.Itoa(maxSize) + " bytes",
 	}
 }
 
-// authenticate finds the customer. A wrong key and none get the same answer.
-func (rd *reader) authenticate() *burdockapi.Problem {
+// authenticate identifies the customer. A wrong API key and a missing one get the same
+// response.
+func (rd *requestReader) authenticate() *burdockapi.Problem {
 	key, ok := strings.CutPrefix(rd.r.Header.Get("Authorization"), bearerPrefix)
 	customer, known := rd.fleet.ByKeyHash[burdockkey.Hash(key)]
 	if !ok || !known {
@@ -110,12 +112,12 @@
 	return nil
 }
 
-func (rd *reader) readKey() *burdockapi.Problem {
-	key := rd.r.Header.Get(headerKey)
-	if len(key) > maxKeyBytes {
-		return badHeader(headerKey, "must be no longer than "+strconv.Itoa(maxKeyBytes)+" bytes")
+func (rd *requestReader) readIdempotencyKey() *burdockapi.Problem {
+	key := rd.r.Header.Get(headerIdempotencyKey)
+	if len(key) > maxIdempotencyKeyBytes {
+		return badHeader(headerIdempotencyKey, "must be no longer than "+strconv.Itoa(maxIdempotencyKeyBytes)+" bytes")
 	}
-	rd.req.key = burdockid.IdempotencyKey(key)
+	rd.req.idempotencyKey = burdockid.IdempotencyKey(key)
 	return nil
 }
 
@@ -126,11 +128,11 @@
 	}
 }
 
-// route finds the service, and reads what its kind needs.
-func (rd *reader) route() *burdockapi.Problem {
+// route finds the service and reads the parts of the request that its kind needs.
+func (rd *requestReader) route() *burdockapi.Problem {
 	switch rd.r.URL.Path {
 	case burdockapi.PathChat, burdockapi.PathCompletions:
-		return rd.completion()
+		return rd.readCompletion()
 	}
 	route, ok := rd.fleet.Route(rd.r.Method, rd.r.URL.Path)
 	if !ok {
@@ -139,10 +141,10 @@
 			Message: "no service is routed at " + rd.r.Method + " " + rd.r.URL.Path,
 		}
 	}
-	return rd.plain(route)
+	return rd.readPlain(route)
 }
 
-func (rd *reader) completion() *burdockapi.Problem {
+func (rd *requestReader) readCompletion() *burdockapi.Problem {
 	if rd.r.Method != http.MethodPost {
 		rd.w.Header().Set("Allow", http.MethodPost)
 		return &burdockapi.Problem{
@@ -164,10 +166,10 @@
 			Message: "the model " + strconv.Quote(c.Model) + " does not exist",
 		}
 	}
-	if longest := rd.fleet.Services[service].MaxPromptTokens; longest > 0 && c.PromptTokens > longest {
+	if maxPrompt := rd.fleet.Services[service].MaxPromptTokens; maxPrompt > 0 && c.PromptTokens > maxPrompt {
 		return &burdockapi.Problem{
 			Status: http.StatusBadRequest, Code: burdockapi.CodePromptTooLong, Param: "messages", NotRun: true,
-			Message: "the prompt is about " + strconv.FormatInt(int64(c.PromptTokens), 10) + " tokens; the model takes " + strconv.FormatInt(int64(longest), 10),
+			Message: "the prompt is about " + strconv.FormatInt(int64(c.PromptTokens), 10) + " tokens; the model takes " + strconv.FormatInt(int64(maxPrompt), 10),
 		}
 	}
 	rd.req.service = service
@@ -175,45 +177,46 @@
 	rd.req.prefix = burdockplace.PrefixBlocks(c.Prompt)
 	rd.req.promptTokens = c.PromptTokens
 	rd.req.cost = c.PromptTokens + c.MaxTokens
-	return rd.terms("")
+	return rd.readClassAndDeadline("")
 }
 
-func (rd *reader) plain(route burdockfleet.Route) *burdockapi.Problem {
+func (rd *requestReader) readPlain(route burdockfleet.Route) *burdockapi.Problem {
 	if problem := rd.readBody(); problem != nil {
 		return problem
 	}
 	rd.req.service = route.Service
 	rd.req.idempotent = route.Idempotent
 	if route.Idempotent {
-		rd.req.key = "" // may be repeated as it is, anywhere
+		rd.req.idempotencyKey = "" // any upstream may run the request again, even without a key
 	}
 	rd.req.cost = burdockid.Tokens(len(rd.req.body)/bytesPerToken + 1)
 	rd.req.promptTokens = rd.req.cost
-	return rd.terms(route.Class)
+	return rd.readClassAndDeadline(route.Class)
 }
 
-// terms finds the priority class and the deadline.
-func (rd *reader) terms(routeClass string) *burdockapi.Problem {
+// readClassAndDeadline determines the priority class and the deadline. The caller's
+// header takes precedence over the route, and the route over the profile's default.
+func (rd *requestReader) readClassAndDeadline(routeClass string) *burdockapi.Problem {
 	profile := rd.fleet.Profile(rd.req.service)
-	asked := rd.r.Header.Get(headerClass)
+	requested := rd.r.Header.Get(headerClass)
 	name := profile.DefaultClass
 	switch {
-	case asked != "":
-		name = asked
+	case requested != "":
+		name = requested
 	case routeClass != "":
 		name = routeClass
 	}
 	i := slices.IndexFunc(profile.Classes, func(c burdockprofile.Class) bool { return c.Name == name })
-	if i < 0 && asked != "" {
+	if i < 0 && requested != "" {
 		return badHeader(headerClass, "must be one of "+strings.Join(classNames(profile), ", "))
 	}
 	class := profile.Classes[max(i, 0)]
 	rd.req.class = class.Name
-	left, problem := rd.timeout(class.DeadlineMillis)
+	maxWait, problem := rd.timeout(class.DeadlineMillis)
 	if problem != nil {
 		return problem
 	}
-	rd.req.deadline = rd.req.arrived + left
+	rd.req.deadline = rd.req.receivedAt + maxWait
 	return nil
 }
 
@@ -225,22 +228,22 @@
 	return names
 }
 
-// timeout returns the time that the caller waits, at most that of the class.
-func (rd *reader) timeout(usual burdockclock.Millis) (burdockclock.Millis, *burdockapi.Problem) {
+// timeout returns the timeout that the caller asked for, limited to that of the class.
+func (rd *requestReader) timeout(classTimeout burdockclock.Millis) (burdockclock.Millis, *burdockapi.Problem) {
 	text := rd.r.Header.Get(headerTimeout)
 	if text == "" {
-		return usual, nil
+		return classTimeout, nil
 	}
-	asked, err := strconv.ParseInt(text, 10, 64)
-	if err != nil || asked < 1 {
+	requested, err := strconv.ParseInt(text, 10, 64)
+	if err != nil || requested < 1 {
 		return 0, badHeader(headerTimeout, "must be a whole number of milliseconds, 1 or more")
 	}
-	return min(burdockclock.Millis(asked), usual), nil
+	return min(burdockclock.Millis(requested), classTimeout), nil
 }
 
-// readBody reads the whole body, within the limit on its size. The limit on
-// its time is the server's.
-func (rd *reader) readBody() *burdockapi.Problem {
+// readBody reads the whole body, up to the size limit. The HTTP server enforces the
+// time limit.
+func (rd *requestReader) readBody() *burdockapi.Problem {
 	limits := rd.entry.cfg.Limits
 	body, err := io.ReadAll(http.MaxBytesReader(rd.w, rd.r.Body, limits.MaxBodyBytes))
 	if err == nil {
@@ -268,15 +271,15 @@
 	}
 }
 
-// hopHeaders belong to one connection and are not passed on.
+// hopHeaders are the hop-by-hop headers, which are not forwarded.
 var hopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Proxy-Connection": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 }
 
-// forwarded returns the headers that go on to the upstream. The caller's key
-// is for the balancer alone: an upstream could use it to act as the customer.
-func forwarded(h http.Header) []*burdockwire.Header {
+// forwardedHeaders returns the headers that are forwarded to the upstream. The caller's
+// API key is not: an upstream could use it to act as the customer.
+func forwardedHeaders(h http.Header) []*burdockwire.Header {
 	dropped := map[string]bool{"Authorization": true, "Content-Length": true}
 	for _, value := range h.Values("Connection") {
 		for name := range strings.SplitSeq(value, ",") {
--- a/internal/serve/burdockentry/serve.go
+++ b/internal/serve/burdockentry/serve.go
@@ -13,80 +13,79 @@
 	"go.uber.org/zap"
 )
 
-// notReadyRetry is when a caller may come back to an entry that has not yet
-// got its configuration.
-const notReadyRetry = burdockclock.Second
+// notReadyRetryAfter is the Retry-After of an entry that has no configuration yet.
+const notReadyRetryAfter = burdockclock.Second
 
 // OutcomeCounts holds the number of ended requests by outcome.
-type OutcomeCounts map[outcomeName]int
+type OutcomeCounts map[outcome]int
 
-// outcomeName is how a request ended, for the log, the metrics and the dump.
-type outcomeName string
+// outcome is how a request ended, for the log, the metrics and the state dump.
+type outcome string
 
 const (
-	outcomeAnswered outcomeName = "answered"
-	outcomeInvalid  outcomeName = "invalid"
-	outcomeRefused  outcomeName = "refused"
-	outcomeUnknown  outcomeName = "unknown"
-	outcomeCut      outcomeName = "cut"
-	outcomeGone     outcomeName = "callerGone"
+	outcomeAnswered outcome = "answered"
+	outcomeInvalid  outcome = "invalid"
+	outcomeRefused  outcome = "refused"
+	outcomeUnknown  outcome = "unknown"
+	outcomeCut      outcome = "cut"
+	outcomeGone     outcome = "callerGone"
 )
 
-type accounts struct {
+type outcomes struct {
 	mu     sync.Mutex
 	counts OutcomeCounts
 }
 
-func (a *accounts) add(name outcomeName) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.counts == nil {
-		a.counts = OutcomeCounts{}
+func (o *outcomes) add(name outcome) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if o.counts == nil {
+		o.counts = OutcomeCounts{}
 	}
-	a.counts[name]++
+	o.counts[name]++
 }
 
-func (a *accounts) copy() OutcomeCounts {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+func (o *outcomes) copy() OutcomeCounts {
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	copied := OutcomeCounts{}
-	for name, n := range a.counts {
+	for name, n := range o.counts {
 		copied[name] = n
 	}
 	return copied
 }
 
-// ending is how one request ended, for its line in the log.
-type ending struct {
-	outcome   outcomeName
-	upstream  burdockid.Upstream
-	reason    string
-	offers    int
-	firstByte burdockclock.Millis
-	begun     bool // the first byte came
+// requestEnd describes how one request ended, for the log and the metrics.
+type requestEnd struct {
+	outcome      outcome
+	upstream     burdockid.Upstream
+	reason       string
+	offers       int
+	firstByte    burdockclock.Millis
+	hasFirstByte bool // firstByte is set
 }
 
-// serve answers one caller's request.
+// serve handles one caller's request.
 func (e *Entry) serve(w http.ResponseWriter, r *http.Request) {
-	e.open.Add(1)
-	defer e.open.Add(-1)
+	e.openRequests.Add(1)
+	defer e.openRequests.Add(-1)
 	fleet := e.deps.Fleet.Now()
 	req := &request{
-		id:      burdockid.NewRequest(),
-		arrived: e.deps.Clock.Boot(),
-		method:  r.Method,
-		path:    r.URL.EscapedPath(),
-		query:   r.URL.RawQuery,
+		id:         burdockid.NewRequest(),
+		receivedAt: e.deps.Clock.Boot(),
+		method:     r.Method,
+		path:       r.URL.EscapedPath(),
+		query:      r.URL.RawQuery,
 	}
 	w.Header().Set(headerID, string(req.id))
 	if len(fleet.Services) == 0 {
 		e.reject(w, req, &burdockapi.Problem{
 			Status: http.StatusServiceUnavailable, Code: burdockapi.CodeNotReady, NotRun: true,
-			Message: "this entry has no configuration yet", RetryAfter: notReadyRetry,
+			Message: "this entry has no configuration yet", RetryAfter: notReadyRetryAfter,
 		})
 		return
 	}
-	rd := &reader{entry: e, fleet: fleet, w: w, r: r, req: req}
+	rd := &requestReader{entry: e, fleet: fleet, w: w, r: r, req: req}
 	if r.URL.Path == burdockapi.PathModels && r.Method == http.MethodGet {
 		e.serveModels(w, rd)
 		return
@@ -95,17 +94,17 @@
 		e.reject(w, req, problem)
 		return
 	}
-	o := newOffers(e, fleet, req, newCaller(w, r, e.cfg.Limits))
-	aborts := true
-	defer func() { e.end(req, o.ending, aborts) }()
-	o.serve(r.Context())
-	aborts = false
+	d := newDispatcher(e, fleet, req, newResponse(w, r, e.cfg.Limits))
+	aborted := true
+	defer func() { e.end(req, d.requestEnd, aborted) }()
+	d.serve(r.Context())
+	aborted = false
 }
 
 // end counts and logs the end of a request.
-func (e *Entry) end(req *request, end ending, aborted bool) {
-	e.accounts.add(end.outcome)
-	e.meters.ended(req.service, end)
+func (e *Entry) end(req *request, end requestEnd, aborted bool) {
+	e.outcomes.add(end.outcome)
+	e.meters.requestEnded(req.service, end)
 	e.deps.Log.Info("request ended",
 		zap.String("requestId", string(req.id)),
 		zap.String("customer", string(req.customer)),
@@ -117,13 +116,13 @@
 		zap.Int("offers", end.offers),
 		zap.Bool("connectionAborted", aborted),
 		zap.Int64("firstByteMillis", int64(end.firstByte)),
-		zap.Int64("totalMillis", int64(e.deps.Clock.Boot()-req.arrived)))
+		zap.Int64("totalMillis", int64(e.deps.Clock.Boot()-req.receivedAt)))
 }
 
 func (e *Entry) reject(w http.ResponseWriter, req *request, problem *burdockapi.Problem) {
 	problem.Write(w)
-	e.meters.rejected(problem.Code)
-	e.end(req, ending{outcome: outcomeInvalid, reason: problem.Error()}, false)
+	e.meters.requestRejected(problem.Code)
+	e.end(req, requestEnd{outcome: outcomeInvalid, reason: problem.Error()}, false)
 }
 
 type modelList struct {
@@ -137,18 +136,18 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// serveModels lists the models that callers can name.
-func (e *Entry) serveModels(w http.ResponseWriter, rd *reader) {
+// serveModels lists the models that callers may name.
+func (e *Entry) serveModels(w http.ResponseWriter, rd *requestReader) {
 	if problem := rd.authenticate(); problem != nil {
 		e.reject(w, rd.req, problem)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(modelsOf(rd.fleet))
-	e.end(rd.req, ending{outcome: outcomeAnswered}, false)
+	_ = json.NewEncoder(w).Encode(listModels(rd.fleet))
+	e.end(rd.req, requestEnd{outcome: outcomeAnswered}, false)
 }
 
-func modelsOf(fleet *burdockfleet.Snapshot) modelList {
+func listModels(fleet *burdockfleet.Snapshot) modelList {
 	list := modelList{Object: "list", Data: []modelItem{}}
 	for name := range fleet.ByModel {
 		list.Data = append(list.Data, modelItem{ID: name, Object: "model", OwnedBy: "burdockbend"})
