--- a/internal/serve/burdockentry/entry_test.go
+++ b/internal/serve/burdockentry/entry_test.go
@@ -29,12 +29,12 @@
 	burdockwire.UnimplementedAgentServiceHandler
 	script func(id string) []*burdockwire.RunEvent
 	runs   atomic.Int64
-	// connections counts those that were opened to the agent.
+	// connections counts the connections that were opened to the agent.
 	connections atomic.Int64
 }
 
-// countNew is a hook of the agent's server.
-func (a *scriptedAgent) countNew(_ net.Conn, state http.ConnState) {
+// countConnection is the ConnState hook of the agent's server.
+func (a *scriptedAgent) countConnection(_ net.Conn, state http.ConnState) {
 	if state == http.StateNew {
 		a.connections.Add(1)
 	}
@@ -67,13 +67,14 @@
 	return &burdockwire.RunEvent{RequestId: id, Event: &burdockwire.RunEvent_End{End: &burdockwire.End{TotalBytes: total}}}
 }
 
-// startEntry serves callers in front of one scripted agent.
+// startEntry starts an entry with one upstream, whose agent is scripted. It returns the
+// entry's server and the customer's API key.
 func startEntry(t *testing.T, agent *scriptedAgent) (*httptest.Server, string) {
 	t.Helper()
 	mux := http.NewServeMux()
 	mux.Handle(burdockwire.NewAgentServiceHandler(agent))
 	agentServer := httptest.NewUnstartedServer(mux)
-	agentServer.Config.ConnState = agent.countNew
+	agentServer.Config.ConnState = agent.countConnection
 	agentServer.Start()
 	t.Cleanup(agentServer.Close)
 	key := burdockkey.New()
@@ -119,23 +120,22 @@
 	return entries
 }
 
-// The caller never takes for its answer what is another's, or what is not
-// whole. An agent, or what lies between, mixes up, loses or cuts events; the
-// caller sees an error, or a connection that broke off, and the request is
-// not run again, since it may have run.
-func TestMixedUpAnswers(t *testing.T) {
+// An agent, or a device on the path, mixes up, loses or truncates events. The caller
+// must get an error or an aborted connection, never a response that looks complete. The
+// request must not be offered again, because it may have run.
+func TestInconsistentEventStreams(t *testing.T) {
 	cases := []struct {
-		name   string
-		script func(id string) []*burdockwire.RunEvent
-		whole  bool
+		name     string
+		script   func(id string) []*burdockwire.RunEvent
+		complete bool
 	}{
 		{"whole", func(id string) []*burdockwire.RunEvent {
 			return []*burdockwire.RunEvent{admitted(id), head(id), chunk(id, 0, "ab"), chunk(id, 2, "c"), end(id, 3)}
 		}, true},
-		{"another's answer from the start", func(string) []*burdockwire.RunEvent {
+		{"another request's response from the start", func(string) []*burdockwire.RunEvent {
 			return []*burdockwire.RunEvent{admitted("other"), head("other"), chunk("other", 0, "abc"), end("other", 3)}
 		}, false},
-		{"another's answer in the middle", func(id string) []*burdockwire.RunEvent {
+		{"another request's response in the middle", func(id string) []*burdockwire.RunEvent {
 			return []*burdockwire.RunEvent{admitted(id), head(id), chunk(id, 0, "a"), chunk("other", 1, "bc"), end(id, 3)}
 		}, false},
 		{"bytes missing", func(id string) []*burdockwire.RunEvent {
@@ -144,16 +144,16 @@
 		{"bytes twice", func(id string) []*burdockwire.RunEvent {
 			return []*burdockwire.RunEvent{admitted(id), head(id), chunk(id, 0, "ab"), chunk(id, 1, "bc"), end(id, 3)}
 		}, false},
-		{"bytes of another place", func(id string) []*burdockwire.RunEvent {
+		{"bytes of another offset", func(id string) []*burdockwire.RunEvent {
 			return []*burdockwire.RunEvent{admitted(id), head(id), chunk(id, 0, "ab"), chunk(id, 1, "c"), end(id, 3)}
 		}, false},
-		{"ends too early", func(id string) []*burdockwire.RunEvent {
+		{"end before the last byte", func(id string) []*burdockwire.RunEvent {
 			return []*burdockwire.RunEvent{admitted(id), head(id), chunk(id, 0, "ab"), end(id, 3)}
 		}, false},
 		{"no head", func(id string) []*burdockwire.RunEvent {
 			return []*burdockwire.RunEvent{admitted(id), chunk(id, 0, "abc"), end(id, 3)}
 		}, false},
-		{"end without anything", func(id string) []*burdockwire.RunEvent {
+		{"end without a head and bytes", func(id string) []*burdockwire.RunEvent {
 			return []*burdockwire.RunEvent{admitted(id), end(id, 0)}
 		}, false},
 	}
@@ -162,10 +162,10 @@
 			agent := &scriptedAgent{script: c.script}
 			server, key := startEntry(t, agent)
 			status, body, err := post(server.URL+"/cards/1", key)
-			whole := err == nil && status == http.StatusOK && body == "abc"
-			looksWhole := err == nil && status == http.StatusOK
-			if whole != c.whole || looksWhole != c.whole {
-				t.Errorf("got status %d body %q err %v, want a whole answer: %v", status, body, err, c.whole)
+			complete := err == nil && status == http.StatusOK && body == "abc"
+			looksComplete := err == nil && status == http.StatusOK
+			if complete != c.complete || looksComplete != c.complete {
+				t.Errorf("got status %d body %q err %v, want a complete response: %v", status, body, err, c.complete)
 			}
 			if got, want := agent.runs.Load(), int64(1); got != want {
 				t.Errorf("runs: got %d, want %d", got, want)
@@ -189,20 +189,19 @@
 	return res.StatusCode, string(body), err
 }
 
-// A caller whose key is unknown learns nothing but that.
-func TestUnknownKeyLearnsNothing(t *testing.T) {
+// A caller with an unknown API key must not learn which routes exist.
+func TestUnknownAPIKeyRevealsNoRoutes(t *testing.T) {
 	server, _ := startEntry(t, &scriptedAgent{})
 	_, atRoute, _ := post(server.URL+"/cards/1", "wrong")
-	_, nowhere, _ := post(server.URL+"/nowhere", "wrong")
-	if atRoute != nowhere || !strings.Contains(atRoute, "unauthenticated") {
-		t.Errorf("got %q at a route and %q elsewhere, want the same refusal", atRoute, nowhere)
+	_, unrouted, _ := post(server.URL+"/nowhere", "wrong")
+	if atRoute != unrouted || !strings.Contains(atRoute, "unauthenticated") {
+		t.Errorf("got %q at a route and %q elsewhere, want the same refusal", atRoute, unrouted)
 	}
 }
 
-// Each request of a caller goes to the same agent. Its answer was read only to
-// the last event that counts, so the connection could not be used again, and
-// each request opened one of its own.
-func TestConnectionToAgentIsUsedAgain(t *testing.T) {
+// Successive requests to the same agent reuse its connection. A connection whose stream
+// is not read to its end can't be reused, and each request opens a new one.
+func TestAgentConnectionIsReused(t *testing.T) {
 	agent := &scriptedAgent{script: func(id string) []*burdockwire.RunEvent {
 		return []*burdockwire.RunEvent{admitted(id), head(id), chunk(id, 0, "abc"), end(id, 3)}
 	}}
@@ -219,20 +218,21 @@
 			t.Fatal(err)
 		}
 		if body, err := io.ReadAll(res.Body); err != nil || string(body) != "abc" {
-			t.Fatalf("answer: got %q, %v", body, err)
+			t.Fatalf("response: got %q, %v", body, err)
 		}
 		_ = res.Body.Close()
 	}
-	// The next request can come before the rest of the last answer was read,
-	// and then opens another connection.
+	// A request that comes before the stream of the last one was read to its end opens
+	// another connection.
 	if got, want := agent.connections.Load(), int64(requests/5); got > want {
-		t.Errorf("connections for %d requests one after another: got %d, want at most %d", requests, got, want)
+		t.Errorf("connections for %d successive requests: got %d, want at most %d", requests, got, want)
 	}
 }
 
-// A caller names a path that an upstream would take for another one: routed as
-// /cards, it would run as /letters, which may not be repeated. It is refused.
-func TestPathThatMeansAnotherHasNoRoute(t *testing.T) {
+// An upstream may normalise a path to another one. If such a path were routed by its
+// prefix /cards, it would run as /letters, which must not be run twice. The entry
+// answers 404.
+func TestNonCanonicalPathHasNoRoute(t *testing.T) {
 	agent := &scriptedAgent{script: func(id string) []*burdockwire.RunEvent {
 		return []*burdockwire.RunEvent{admitted(id), head(id), end(id, 0)}
 	}}
@@ -247,22 +247,22 @@
 	}
 }
 
-// A caller is told the truth about a request that may be repeated. Its first
-// offer broke off and may have run; the second found no upstream. "Not run"
-// would be true of the second alone. Found by a soak of ten minutes, seed 3.
+// The first offer of an idempotent request breaks off and may have run; for the second
+// no upstream is left. The caller must not get "not run", which is only true of the
+// second offer. Found by a soak test of ten minutes with seed 3.
 func TestSecondOfferRefusedAfterTheFirstMayHaveRun(t *testing.T) {
 	agent := &scriptedAgent{script: func(id string) []*burdockwire.RunEvent {
-		return []*burdockwire.RunEvent{admitted(id)} // and then the stream ends
+		return []*burdockwire.RunEvent{admitted(id)} // the stream ends without a result
 	}}
 	server, key := startEntry(t, agent)
 	status, body, err := post(server.URL+"/prices/1", key)
 	if err != nil || status == http.StatusOK || !strings.Contains(body, `"notRun":false`) {
-		t.Errorf("got status %d body %q err %v, want an error that is not not-run", status, body, err)
+		t.Errorf("got status %d body %q err %v, want an error with notRun false", status, body, err)
 	}
 	if strings.Contains(body, "127.0.0.1") {
-		t.Errorf("body %q names an inner address", body)
+		t.Errorf("body %q contains an internal address", body)
 	}
 	if got, want := agent.runs.Load(), int64(1); got != want {
-		t.Errorf("offers that reached the agent: got %d, want %d", got, want)
+		t.Errorf("runs at the agent: got %d, want %d", got, want)
 	}
 }
--- a/internal/serve/burdockentry/fuzz_test.go
+++ b/internal/serve/burdockentry/fuzz_test.go
@@ -6,32 +6,32 @@
 	"testing"
 )
 
-// FuzzForwarded passes hostile headers on. The caller's key, what belongs to
-// the connection and what callers may not say for the balancer stay behind;
-// the rest arrives whole.
+// FuzzForwarded checks which of a hostile caller's headers are forwarded. The API key,
+// Content-Length, hop-by-hop headers and headers with the prefix Burdock- must be
+// dropped; all others must be forwarded unchanged.
 func FuzzForwarded(f *testing.F) {
 	f.Fuzz(func(t *testing.T, name, value, connection string) {
 		h := http.Header{}
 		h.Add("Authorization", "Bearer key")
 		h.Add("Connection", connection)
 		h.Add(name, value)
-		arrived := false
+		forwarded := false
 		for _, got := range forwardedHeaders(h) {
 			canonical := http.CanonicalHeaderKey(got.GetName())
 			if canonical == "Authorization" || hopHeaders[canonical] || strings.HasPrefix(canonical, headerPrefix) {
-				t.Errorf("passed on: %q", got.GetName())
+				t.Errorf("forwarded: %q", got.GetName())
 			}
 			if got.GetName() == http.CanonicalHeaderKey(name) && got.GetValue() == value {
-				arrived = true
+				forwarded = true
 			}
 		}
 		canonical := http.CanonicalHeaderKey(name)
-		stays := canonical == "Authorization" || canonical == "Content-Length" || hopHeaders[canonical] || strings.HasPrefix(canonical, headerPrefix)
+		dropped := canonical == "Authorization" || canonical == "Content-Length" || hopHeaders[canonical] || strings.HasPrefix(canonical, headerPrefix)
 		for part := range strings.SplitSeq(connection, ",") {
-			stays = stays || http.CanonicalHeaderKey(strings.TrimSpace(part)) == canonical
+			dropped = dropped || http.CanonicalHeaderKey(strings.TrimSpace(part)) == canonical
 		}
-		if arrived == stays {
-			t.Errorf("%q with connection %q: passed on %v, want %v", name, connection, arrived, !stays)
+		if forwarded == dropped {
+			t.Errorf("%q with connection %q: forwarded %v, want %v", name, connection, forwarded, !dropped)
 		}
 	})
 }
--- a/internal/serve/burdockentry/health_test.go
+++ b/internal/serve/burdockentry/health_test.go
@@ -17,36 +17,36 @@
 	return burdockeject.Change{Upstream: "u", Level: level, Weight: level.Weight(), Cause: cause}
 }
 
-// An operator reads in the dump how an upstream fell, was probed and came
-// back, step by step, and none of the steps is one that the chart rejects.
+// The state dump must show each transition of an upstream through ejection, probing and
+// recovery, and the chart must reject none of them.
 func TestHealthFollowsTheChart(t *testing.T) {
 	h := newHealth()
-	step := func(want burdockcharts.UpstreamState) {
+	checkState := func(want burdockcharts.UpstreamState) {
 		t.Helper()
 		if got := h.state("u"); got != want {
 			t.Errorf("state: got %s, want %s", got, want)
 		}
 	}
 	h.applyChange(1, change(burdockeject.LevelHalf, burdockeject.CauseFailing))
-	step(burdockcharts.UpstreamSuspect)
+	checkState(burdockcharts.UpstreamSuspect)
 	h.applyChange(2, change(burdockeject.LevelQuarter, burdockeject.CauseFailing))
-	step(burdockcharts.UpstreamSuspect)
+	checkState(burdockcharts.UpstreamSuspect)
 	h.applyChange(3, change(burdockeject.LevelEjected, burdockeject.CauseFailing))
-	step(burdockcharts.UpstreamEjected)
+	checkState(burdockcharts.UpstreamEjected)
 	h.fire(4, "u", burdockcharts.UpstreamEventProbe, "")
-	step(burdockcharts.UpstreamProbing)
+	checkState(burdockcharts.UpstreamProbing)
 	h.fire(5, "u", burdockcharts.UpstreamEventProbeFailed, "")
-	step(burdockcharts.UpstreamEjected)
+	checkState(burdockcharts.UpstreamEjected)
 	h.fire(6, "u", burdockcharts.UpstreamEventProbe, "")
 	h.applyChange(7, change(burdockeject.LevelQuarter, burdockeject.CauseRecovered))
-	step(burdockcharts.UpstreamSuspect)
+	checkState(burdockcharts.UpstreamSuspect)
 	h.applyChange(8, change(burdockeject.LevelHalf, burdockeject.CauseRecovered))
 	h.applyChange(9, change(burdockeject.LevelFull, burdockeject.CauseRecovered))
-	step(burdockcharts.UpstreamHealthy)
+	checkState(burdockcharts.UpstreamHealthy)
 	h.applyChange(10, change(burdockeject.LevelEjected, burdockeject.CauseLeaving))
-	step(burdockcharts.UpstreamLeaving)
+	checkState(burdockcharts.UpstreamLeaving)
 	h.applyChange(11, change(burdockeject.LevelFull, burdockeject.CauseRecovered))
-	step(burdockcharts.UpstreamHealthy)
+	checkState(burdockcharts.UpstreamHealthy)
 	var got []string
 	for _, e := range h.dump().Events {
 		got = append(got, e.From+">"+e.To)
@@ -60,9 +60,9 @@
 	}
 }
 
-// Callers of a small service are refused, though two of its three upstreams are
-// back, while the third is restarted. The upstreams are restarted one after the
-// other within five seconds, and the entry must not wait that long to hear of it.
+// The three upstreams of a small service restart one after the other within five
+// seconds. If the entry probed leaving upstreams only that often, it would refuse
+// requests although two of the three are back.
 func TestReturnedUpstreamsOfASmallServiceAreFoundSoon(t *testing.T) {
 	p := newPool("s", "a", rand.NewPCG(1, 2))
 	p.members = map[burdockid.Upstream]burdockmember.Upstream{"u1": {Name: "u1"}, "u2": {Name: "u2"}, "u3": {Name: "u3"}}
@@ -71,7 +71,7 @@
 	p.observeIncarnation(now, "u1", "first", true)
 	p.dueProbes(now)
 	if got := p.dueProbes(now + shortLeavingProbeInterval); len(got) != 1 || got[0].Name != "u1" {
-		t.Errorf("a third leaves: got %v asked, want u1", got)
+		t.Errorf("a third is leaving: got %v probed, want u1", got)
 	}
 	for i := range 6 {
 		name := burdockid.Upstream(fmt.Sprint("more", i))
@@ -79,6 +79,6 @@
 	}
 	p.dueProbes(now + 2*shortLeavingProbeInterval)
 	if got := p.dueProbes(now + 3*shortLeavingProbeInterval); len(got) != 0 {
-		t.Errorf("one of many leaves: got %v asked, want none yet", got)
+		t.Errorf("one of many is leaving: got %v probed, want none yet", got)
 	}
 }
