--- a/internal/serve/burdockdirect/caller.go
+++ b/internal/serve/burdockdirect/caller.go
@@ -8,23 +8,23 @@
 	"go.uber.org/zap"
 )
 
-// caller is the side of a request that the caller sees.
+// caller writes the response to the caller of one request.
 type caller struct {
-	entry   *Entry
-	w       http.ResponseWriter
-	control *http.ResponseController
-	begun   bool // the head has been written
+	entry       *Entry
+	w           http.ResponseWriter
+	control     *http.ResponseController
+	headWritten bool // the head has been written
 }
 
-// connectionHeaders concern one connection only.
+// connectionHeaders are the hop-by-hop headers, which are not forwarded.
 var connectionHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// head writes an upstream's status and headers. Without a length the answer
-// ends as net/http frames it.
-func (c *caller) head(status int, h http.Header, length int64) {
-	c.begun = true
+// writeHead writes an upstream's status and headers. If length is negative, net/http
+// frames the body.
+func (c *caller) writeHead(status int, h http.Header, length int64) {
+	c.headWritten = true
 	out := c.w.Header()
 	for name, values := range h {
 		out[name] = values
@@ -38,7 +38,7 @@
 		out.Set("Connection", "close")
 	}
 	if _, ok := out["Content-Type"]; !ok {
-		out["Content-Type"] = nil // none of our own guess
+		out["Content-Type"] = nil // no content sniffing
 	}
 	if length >= 0 {
 		out.Set("Content-Length", strconv.FormatInt(length, 10))
@@ -46,7 +46,7 @@
 	c.w.WriteHeader(status)
 }
 
-// write passes bytes on at once.
+// write passes bytes on and flushes them.
 func (c *caller) write(b []byte) error {
 	if _, err := c.w.Write(b); err != nil {
 		return err
@@ -54,21 +54,22 @@
 	return c.control.Flush()
 }
 
-// refuse gives an answer of the entry's own, at once.
-func (c *caller) refuse(req *request, no refusal) {
+// refuse answers a request with a refusal by the entry itself.
+func (c *caller) refuse(req *request, rejection refusal) {
 	h := c.w.Header()
-	if no.retryAfter > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(float64(no.retryAfter)/float64(burdockclock.Second), 'f', 3, 64))
+	if rejection.retryAfter > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(float64(rejection.retryAfter)/float64(burdockclock.Second), 'f', 3, 64))
 	}
 	h.Set("Content-Type", "text/plain; charset=utf-8")
-	c.entry.meters.refused(no.status)
-	c.entry.logEnd(req, "refused", zap.Int("status", no.status), zap.String("reason", no.reason), zap.Int64("retryAfterMillis", int64(no.retryAfter)))
-	body := no.reason + "\n"
+	c.entry.meters.countRefusal(rejection.status)
+	c.entry.logEnd(req, "refused", zap.Int("status", rejection.status), zap.String("reason", rejection.reason), zap.Int64("retryAfterMillis", int64(rejection.retryAfter)))
+	body := rejection.reason + "\n"
 	h.Set("Content-Length", strconv.Itoa(len(body)))
-	c.w.WriteHeader(no.status)
-	// A caller that has gone needs no answer.
+	c.w.WriteHeader(rejection.status)
+	// An error means that the caller has gone and needs no answer.
 	_, _ = c.w.Write([]byte(body))
 }
 
-// abort ends the connection, so that what was sent can't pass for whole.
+// abort closes the connection, so that a partial response can't be taken for a complete
+// one.
 func (c *caller) abort() { panic(http.ErrAbortHandler) }
--- a/internal/serve/burdockdirect/crashes.go
+++ b/internal/serve/burdockdirect/crashes.go
@@ -16,66 +16,69 @@
 )
 
 const (
-	// examineFor is how long an upstream whose connection broke and that can't be
-	// reached is watched for the end of its record: three heartbeats and more.
-	examineFor = 6 * burdockclock.Second
-	// examineEvery is how often its record is looked at.
-	examineEvery = 250 * time.Millisecond
-	// massPart of a service's upstreams, but massLeast at least, that crash within
-	// massSpan had a cause of their own: one request runs at one upstream at a time.
-	massPart                      = 4
-	massLeast                     = 3
-	massSpan  burdockclock.Millis = 1000
+	// examineTimeout is how long an upstream's record is watched for its removal, after
+	// the upstream's connection broke and it could not be reached: more than three
+	// heartbeats.
+	examineTimeout = 6 * burdockclock.Second
+	// examineInterval is how often that record is checked.
+	examineInterval = 250 * time.Millisecond
+	// massCrashDivisor, massCrashMin and massCrashWindow define a mass crash: at least
+	// massCrashMin upstreams of a service, and one in massCrashDivisor of them, crash
+	// within massCrashWindow. No request can be the cause, since each runs at only one
+	// upstream at a time.
+	massCrashDivisor                     = 4
+	massCrashMin                         = 3
+	massCrashWindow  burdockclock.Millis = 1000
 )
 
-// crashes finds the requests that crash the upstreams that run them, and keeps
-// them from others. Instants are the wall clock's, as entries tell each other.
-type crashes struct {
-	clock burdockclock.Clock
-	site  *burdocksite.Site
-	log   *zap.Logger
-	tell  func([]burdocksuspect.Crash) // tells the other entries; may be nil
-
-	mu       sync.Mutex
-	ledger   *burdocksuspect.Tracker
-	examined map[burdockid.Upstream]*examination
-	// crashed holds when upstreams crashed of late.
-	crashed map[burdockid.Upstream]burdockclock.Millis
-}
-
-func newCrashes(deps Deps, memory burdockclock.Millis) *crashes {
-	return &crashes{
-		clock: deps.Clock, site: deps.Site, log: deps.Log, tell: deps.PublishCrashes,
-		ledger:   burdocksuspect.New(burdocksuspect.Config{TTL: memory}),
-		examined: map[burdockid.Upstream]*examination{}, crashed: map[burdockid.Upstream]burdockclock.Millis{},
+// crashDetector finds the requests that crash the upstreams that run them, and keeps them
+// from others. It uses the wall clock, since entries exchange the times of crashes.
+type crashDetector struct {
+	clock   burdockclock.Clock
+	site    *burdocksite.Site
+	log     *zap.Logger
+	publish func([]burdocksuspect.Crash) // notifies the other entries; may be nil
+
+	mu           sync.Mutex
+	tracker      *burdocksuspect.Tracker
+	examinations map[burdockid.Upstream]*examination
+	// crashedAt holds when upstreams crashed recently.
+	crashedAt map[burdockid.Upstream]burdockclock.Millis
+}
+
+func newCrashDetector(deps Deps, ttl burdockclock.Millis) *crashDetector {
+	return &crashDetector{
+		clock: deps.Clock, site: deps.Site, log: deps.Log, publish: deps.PublishCrashes,
+		tracker:      burdocksuspect.New(burdocksuspect.Config{TTL: ttl}),
+		examinations: map[burdockid.Upstream]*examination{}, crashedAt: map[burdockid.Upstream]burdockclock.Millis{},
 	}
 }
 
-// digest returns what tells a request from others, whatever its id.
+// digest identifies a request by its content, whatever its ID.
 func (req *request) digest() burdocksuspect.Digest {
 	return burdocksuspect.DigestOf(req.method, req.target, req.customer, req.body)
 }
 
 // quarantined returns how much longer a request is kept from upstreams; 0 if it
 // isn't.
-func (c *crashes) quarantined(req *request) burdockclock.Millis {
+func (c *crashDetector) quarantined(req *request) burdockclock.Millis {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ledger.Empty() {
+	if c.tracker.Empty() {
 		return 0
 	}
-	return c.ledger.QuarantineRemaining(c.clock.Now(), req.digest())
+	return c.tracker.QuarantineRemaining(c.clock.Now(), req.digest())
 }
 
-// suspects returns the requests that are remembered.
-func (c *crashes) suspects() []burdocksuspect.CrashingRequest {
+// crashingRequests returns the requests that ran at upstreams that crashed.
+func (c *crashDetector) crashingRequests() []burdocksuspect.CrashingRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.ledger.CrashingRequests(c.clock.Now())
+	return c.tracker.CrashingRequests(c.clock.Now())
 }
 
-// told takes in what other entries know.
-func (c *crashes) told(all []burdocksuspect.Crash) {
+// addAll adds the crashes that other entries reported.
+func (c *crashDetector) addAll(all []burdocksuspect.Crash) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.clock.Now()
@@ -84,66 +87,66 @@
 	}
 }
 
-// add takes in a crash. The lock must be held.
-func (c *crashes) add(now burdockclock.Millis, crash burdocksuspect.Crash) bool {
-	if !c.ledger.Add(now, crash) {
+// add records a crash and reports whether it was new. The lock must be held.
+func (c *crashDetector) add(now burdockclock.Millis, crash burdocksuspect.Crash) bool {
+	if !c.tracker.Add(now, crash) {
 		return false
 	}
-	if left := c.ledger.QuarantineRemaining(now, crash.Request); left > 0 {
+	if left := c.tracker.QuarantineRemaining(now, crash.Request); left > 0 {
 		c.log.Warn("request crashes upstreams", zap.Stringer("request", crash.Request),
 			zap.String("upstream", string(crash.Upstream)), zap.Int64("keptMillis", int64(left)))
 	}
 	return true
 }
 
-// examination finds out whether an upstream crashed, after its connections broke
-// with requests running.
+// examination determines whether an upstream crashed, after its connections broke while it
+// ran requests.
 type examination struct {
-	crashes  *crashes
-	upstream burdocksite.Upstream
-	at       burdockclock.Millis
-	requests []burdocksuspect.Digest
-	crashed  bool
+	crashes   *crashDetector
+	upstream  burdocksite.Upstream
+	startedAt burdockclock.Millis
+	requests  []burdocksuspect.Digest
+	crashed   bool
 }
 
-// cut takes in that the connection to an upstream broke as it ran a request.
-func (c *crashes) cut(u burdocksite.Upstream, d burdocksuspect.Digest) {
+// connectionBroke records that the connection to an upstream broke while it ran a request.
+func (c *crashDetector) connectionBroke(u burdocksite.Upstream, d burdocksuspect.Digest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	x := c.examined[u.ID]
+	x := c.examinations[u.ID]
 	if x == nil {
-		x = &examination{crashes: c, upstream: u, at: c.clock.Now()}
-		c.examined[u.ID] = x
+		x = &examination{crashes: c, upstream: u, startedAt: c.clock.Now()}
+		c.examinations[u.ID] = x
 		go x.run()
 	}
 	x.requests = append(x.requests, d)
 	if x.crashed {
-		x.accuse()
+		x.recordCrashes()
 	}
 }
 
-// run decides whether the upstream crashed. One that can be connected to lives, so
-// that the network cut its connections; one that refuses is gone; of one that is
-// silent its record tells.
+// run determines whether the upstream crashed. One that accepts a connection is alive, so
+// the network broke the earlier ones. One that refuses has crashed. For one that doesn't
+// respond, its record decides.
 func (x *examination) run() {
-	defer x.end()
-	dialer := net.Dialer{Timeout: upstreamDial}
+	defer x.expire()
+	dialer := net.Dialer{Timeout: upstreamDialTimeout}
 	conn, err := dialer.DialContext(context.Background(), "tcp", x.upstream.Address)
 	if err == nil {
 		_ = conn.Close() // nothing was sent
 		return
 	}
-	if errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET) || x.vanishes() {
-		x.found()
+	if errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET) || x.recordRemoved() {
+		x.confirmCrash()
 	}
 }
 
-// vanishes waits for the end of the upstream's record, and reports false if it is
-// still there after a while, or was about to leave.
-func (x *examination) vanishes() bool {
-	ticker := time.NewTicker(examineEvery)
+// recordRemoved waits for the upstream's record to disappear. It reports false if the
+// record is still there after examineTimeout, or if the upstream was about to leave.
+func (x *examination) recordRemoved() bool {
+	ticker := time.NewTicker(examineInterval)
 	defer ticker.Stop()
-	for until := x.at + examineFor; x.crashes.clock.Now() < until; <-ticker.C {
+	for until := x.startedAt + examineTimeout; x.crashes.clock.Now() < until; <-ticker.C {
 		if u, there := x.crashes.site.Now().Upstreams[x.upstream.ID]; !there {
 			return true
 		} else if u.Leaving {
@@ -153,61 +156,65 @@
 	return false
 }
 
-// found accuses the requests that ran there.
-func (x *examination) found() {
+// confirmCrash records the crash for the requests that ran at the upstream.
+func (x *examination) confirmCrash() {
 	c := x.crashes
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	x.crashed = true
-	c.crashed[x.upstream.ID] = x.at
-	x.accuse()
+	c.crashedAt[x.upstream.ID] = x.startedAt
+	x.recordCrashes()
 }
 
-// accuse tells all entries of the requests that ran at the upstream, unless so many
-// crashed with it that no request can be the cause. The lock must be held.
-func (x *examination) accuse() {
+// recordCrashes records and publishes a crash for each request that ran at the upstream,
+// unless so many upstreams crashed with it that no request can be the cause. The lock must
+// be held.
+func (x *examination) recordCrashes() {
 	c := x.crashes
 	requests := x.requests
 	x.requests = nil
-	if c.mass(x.upstream.Service, x.at) {
+	if c.isMassCrash(x.upstream.Service, x.startedAt) {
 		return
 	}
-	var news []burdocksuspect.Crash
+	var added []burdocksuspect.Crash
 	for _, d := range requests {
-		crash := burdocksuspect.Crash{Request: d, Upstream: x.upstream.ID, At: x.at}
+		crash := burdocksuspect.Crash{Request: d, Upstream: x.upstream.ID, At: x.startedAt}
 		if c.add(c.clock.Now(), crash) {
-			news = append(news, crash)
+			added = append(added, crash)
 		}
 	}
-	if len(news) > 0 && c.tell != nil {
-		c.tell(news)
+	if len(added) > 0 && c.publish != nil {
+		c.publish(added)
 	}
 }
 
-// mass reports whether a good part of a service's upstreams crashed at a time.
-func (c *crashes) mass(service burdockid.Service, at burdockclock.Millis) bool {
+// isMassCrash reports whether a large part of a service's upstreams crashed at the same
+// time.
+func (c *crashDetector) isMassCrash(service burdockid.Service, at burdockclock.Millis) bool {
 	n := 0
-	for u, crashedAt := range c.crashed {
-		if at-crashedAt > massSpan {
-			delete(c.crashed, u)
+	for u, crashedAt := range c.crashedAt {
+		if at-crashedAt > massCrashWindow {
+			delete(c.crashedAt, u)
 			continue
 		}
 		n++
 	}
-	return n >= max(massLeast, len(c.site.Now().Members(service))/massPart)
+	return n >= max(massCrashMin, len(c.site.Now().Members(service))/massCrashDivisor)
 }
 
-// end forgets the examination after a while, so that what breaks late is still
-// counted.
-func (x *examination) end() {
-	time.Sleep(massSpan.Duration())
+// expire removes the examination after a while, so that connections that break late still
+// count.
+func (x *examination) expire() {
+	time.Sleep(massCrashWindow.Duration())
 	x.crashes.mu.Lock()
 	defer x.crashes.mu.Unlock()
-	delete(x.crashes.examined, x.upstream.ID)
+	delete(x.crashes.examinations, x.upstream.ID)
 }
 
-// AddCrashes takes in the crashes that other entries know.
-func (e *Entry) AddCrashes(all []burdocksuspect.Crash) { e.crashes.told(all) }
+// AddCrashes adds the crashes that other entries reported.
+func (e *Entry) AddCrashes(all []burdocksuspect.Crash) { e.crashes.addAll(all) }
 
-// CrashingRequests returns the requests that ran at upstreams which crashed, for operators.
-func (e *Entry) CrashingRequests() []burdocksuspect.CrashingRequest { return e.crashes.suspects() }
+// CrashingRequests returns the requests that ran at upstreams that crashed, for operators.
+func (e *Entry) CrashingRequests() []burdocksuspect.CrashingRequest {
+	return e.crashes.crashingRequests()
+}
--- a/internal/serve/burdockdirect/crashes_test.go
+++ b/internal/serve/burdockdirect/crashes_test.go
@@ -42,7 +42,7 @@
 	f := &crashFleet{board: &crashBoard{}}
 	for range entries {
 		fixture := newFixture(t, usualTimeout)
-		fixture.entry.crashes.tell = f.board.tell
+		fixture.entry.crashes.publish = f.board.tell
 		f.fixtures = append(f.fixtures, fixture)
 		f.board.entries = append(f.board.entries, fixture.entry)
 	}
@@ -118,7 +118,7 @@
 	for range 5 {
 		f.send(t, context.Background(), "/again/", nil)
 	}
-	time.Sleep(upstreamDial)
+	time.Sleep(upstreamDialTimeout)
 	if got := f.entry.CrashingRequests(); len(got) != 0 {
 		t.Errorf("suspects: got %v, want none", got)
 	}
@@ -133,7 +133,7 @@
 		wg.Go(func() { f.fixtures[0].send(t, context.Background(), fmt.Sprintf("/once/%dcrash", i), nil) })
 	}
 	wg.Wait()
-	time.Sleep(upstreamDial)
+	time.Sleep(upstreamDialTimeout)
 	for _, s := range f.fixtures[0].entry.CrashingRequests() {
 		if s.QuarantineRemainingMillis > 0 {
 			t.Errorf("request %s: got %d ms of quarantine, want none", s.DigestText, s.QuarantineRemainingMillis)
--- a/internal/serve/burdockdirect/dialect.go
+++ b/internal/serve/burdockdirect/dialect.go
@@ -7,9 +7,9 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// CallerHeaders is what a caller's headers say.
+// CallerHeaders holds what a caller's headers contain.
 type CallerHeaders struct {
-	// ID is the caller's own for this attempt; upstreams echo it.
+	// ID is the caller's own ID of this attempt; upstreams echo it.
 	ID burdockid.Request
 	// APIKey identifies the caller's customer.
 	APIKey string
@@ -22,35 +22,37 @@
 	LastEventID string
 }
 
-// UpstreamHeaders is what an offer tells an upstream.
+// UpstreamHeaders holds what an offer passes to an upstream in headers.
 type UpstreamHeaders struct {
 	Customer burdockid.Customer
-	// ExpectedUpstream is the one that is meant; another one at its address refuses.
+	// ExpectedUpstream is the upstream that is meant; any other one at its address
+	// refuses.
 	ExpectedUpstream burdockid.Upstream
 	TimeBudget       burdockclock.Millis
 	LastEventID      string
 }
 
-// Load is what an upstream tells of itself.
+// Load is the load that an upstream reports.
 type Load struct{ Running, Waiting, Slots int }
 
-// ResponseHeaders is what an upstream's headers say.
+// ResponseHeaders holds what an upstream's response headers contain.
 type ResponseHeaders struct {
 	// RequestID is the request that this response belongs to.
 	RequestID burdockid.Request
-	// NotRun says that the upstream has not run the request and never will.
+	// NotRun reports that the upstream has not run the request and never will.
 	NotRun bool
-	// FromUpstream says that the answer is the upstream's own.
+	// FromUpstream reports that the upstream itself created the response.
 	FromUpstream bool
 	Load         *Load
-	// RefusingUpstream is the upstream that a refusal is due to, if it is another one.
+	// RefusingUpstream is the upstream that the refusal is due to, "" if it isn't stated.
 	RefusingUpstream burdockid.Upstream
 }
 
-// Dialect translates headers. It decides nothing.
+// Dialect translates between a platform's headers and the entry's types. It decides
+// nothing.
 type Dialect interface {
 	ParseRequest(h http.Header) CallerHeaders
-	// Prepare makes a caller's headers those of an offer.
+	// Prepare turns the headers of a caller into those of an offer.
 	Prepare(h http.Header, out UpstreamHeaders)
 	ParseResponse(status int, h http.Header) ResponseHeaders
 }
--- a/internal/serve/burdockdirect/entry.go
+++ b/internal/serve/burdockdirect/entry.go
@@ -1,9 +1,9 @@
-// Package burdockdirect is an entry that speaks to upstreams itself, for sites
-// whose platform keeps routes and membership. Requests pass no agent: plain
-// services have none, and an agent that is replaced would cut sound streams.
+// Package burdockdirect implements an entry that sends requests to upstreams itself, for
+// sites whose platform manages routes and membership. Requests pass no agent: plain
+// services have none, and replacing an agent would cut healthy streams.
 //
-// Admission, placing, retries and ejection are the packages under
-// internal/decide that the entry beside agents uses too.
+// Admission, placement, retries and ejection are decided by the packages under
+// internal/decide, which the entry that works with agents uses too.
 package burdockdirect
 
 import (
@@ -24,17 +24,17 @@
 	"go.uber.org/zap"
 )
 
-// Config says where an entry stands.
+// Config holds the settings of an entry.
 type Config struct {
 	DataCentre burdockid.DataCentre
-	// GraceMillis is how long a planned stop may take.
+	// GraceMillis is the maximum duration of a planned stop.
 	GraceMillis burdockclock.Millis
-	// QuarantineMillis is how long a request is kept from upstreams after it has
-	// crashed some; 0 takes the default.
+	// QuarantineMillis is how long a request is kept from upstreams after it has crashed
+	// some; 0 selects the default.
 	QuarantineMillis burdockclock.Millis
 }
 
-// Deps is what an entry works with.
+// Deps holds what an entry depends on.
 type Deps struct {
 	Clock   burdockclock.Clock
 	Site    *burdocksite.Site
@@ -42,22 +42,22 @@
 	Log     *zap.Logger
 	Metrics *metrics.Set
 	Seed    uint64
-	// PublishCrashes tells the other entries of crashes. It must not block; nil tells
-	// nobody.
+	// PublishCrashes notifies the other entries of crashes. It must not block; nil
+	// notifies nobody.
 	PublishCrashes func([]burdocksuspect.Crash)
-	// PublishSuspected tells the other entries that an upstream has failed a request. It
-	// must not block; nil tells nobody.
+	// PublishSuspected notifies the other entries that an upstream has failed a request.
+	// It must not block; nil notifies nobody.
 	PublishSuspected func(burdockid.Upstream)
 }
 
-// Entry serves callers.
+// Entry is the http.Handler that serves callers.
 type Entry struct {
 	cfg    Config
 	deps   Deps
 	client *http.Client
 	meters *meters
-	// crashes knows the requests that crash upstreams.
-	crashes *crashes
+	// crashes detects the requests that crash upstreams.
+	crashes *crashDetector
 
 	drainingAt atomic.Int64 // boot time of the planned stop; 0 before it
 	active     atomic.Int64
@@ -68,64 +68,65 @@
 }
 
 const (
-	// stopStreams is how long after the beginning of a planned stop streams are
-	// still begun. New connections come for two to three seconds, until the
-	// balancer has asked twice; an answer under load takes up to twice as long as
-	// the rest of a stop of some eight seconds.
-	stopStreams burdockclock.Millis = 2700
-	// stopFactor and stopSlack are how long a request that starts in a planned
-	// stop must have, in usual times and beside them.
-	stopFactor                     = 2
-	stopSlack  burdockclock.Millis = 700
-	// upstreamDial bounds the opening of a connection, some two hundred times
-	// the way between data centres: what takes longer is dark, and another
-	// upstream can still answer in time since nothing was sent.
-	upstreamDial = 400 * time.Millisecond
-	// upstreamIdle is how long an unused connection is kept. Upstreams close
-	// theirs after seconds; one that is closed as a request is on its way
-	// leaves its outcome unknown.
-	upstreamIdle = 3 * time.Second
-	// upstreamsIdle is the number of connections kept for one upstream: as many
-	// as one entry has there at a time when requests come in a burst.
-	upstreamsIdle = 16
+	// streamStartWindow is how long after the start of a planned stop new streams are
+	// accepted. New connections arrive for two to three seconds, until the balancer has
+	// checked readiness twice. An answer under load takes up to twice as long as the rest
+	// of a stop of some eight seconds.
+	streamStartWindow burdockclock.Millis = 2700
+	// stopDurationFactor and stopSlack give the time that a request must have left when it
+	// starts during a planned stop: a multiple of the typical time of an answer, and a
+	// slack on top.
+	stopDurationFactor                     = 2
+	stopSlack          burdockclock.Millis = 700
+	// upstreamDialTimeout bounds the opening of a connection, at some two hundred times
+	// the latency between data centres. An upstream that takes longer is unreachable, and
+	// since nothing was sent, another one can still answer in time.
+	upstreamDialTimeout = 400 * time.Millisecond
+	// upstreamIdleTimeout is how long an unused connection is kept. Upstreams close theirs
+	// after seconds, and if that happens while a request is on its way, the request's
+	// outcome is unknown.
+	upstreamIdleTimeout = 3 * time.Second
+	// maxIdlePerUpstream is the number of idle connections kept for one upstream: as many
+	// as one entry uses there at a time during a burst.
+	maxIdlePerUpstream = 16
 )
 
-// New returns an entry that knows no upstream yet.
+// New returns an entry that has no pools yet.
 func New(cfg Config, deps Deps) *Entry {
-	e := &Entry{cfg: cfg, deps: deps, pools: map[burdockid.Service]*pool{}, meters: newMeters(deps.Metrics), crashes: newCrashes(deps, cfg.QuarantineMillis)}
+	e := &Entry{cfg: cfg, deps: deps, pools: map[burdockid.Service]*pool{}, meters: newMeters(deps.Metrics), crashes: newCrashDetector(deps, cfg.QuarantineMillis)}
 	e.client = &http.Client{
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		Transport: burdocktransport.NewOnce(&http.Transport{
 			DialContext:         dialUpstream,
-			MaxIdleConnsPerHost: upstreamsIdle,
-			IdleConnTimeout:     upstreamIdle,
+			MaxIdleConnsPerHost: maxIdlePerUpstream,
+			IdleConnTimeout:     upstreamIdleTimeout,
 			DisableCompression:  true,
 		}),
 	}
 	return e
 }
 
-// dialUpstream connects to an upstream so that closing the connection discards
-// what has not arrived.
+// dialUpstream connects to an upstream so that closing the connection discards what has
+// not arrived.
 //
-// Failure: a caller leaves while its request waits in the buffers of a VM that
-// is frozen. Symptom: the upstream gets it when the VM wakes, seconds after
-// anybody wanted the answer. Answers are read to their end before a connection
-// is closed in order, so nothing that is wanted is lost.
+// If a caller leaves while its request waits in the buffers of a frozen VM, the upstream
+// would otherwise get the request when the VM wakes, seconds after anybody wanted the
+// answer. Answers are read to their end before a connection is closed in order, so nothing
+// that is wanted is lost.
 func dialUpstream(ctx context.Context, network, address string) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: upstreamDial}
+	dialer := net.Dialer{Timeout: upstreamDialTimeout}
 	conn, err := dialer.DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		// Without it the connection is only closed later.
+		// Without it, the connection is merely closed later.
 		_ = tcp.SetLinger(0)
 	}
 	return conn, nil
 }
 
-// Ready returns why the entry should get no new connections, or "".
+// Ready returns why the entry should get no new connections; "" if it should.
 func (e *Entry) Ready() string {
 	switch {
 	case e.drainingAt.Load() != 0:
@@ -136,26 +137,26 @@
 	return ""
 }
 
-// Drain begins a planned stop: answers end their connections from now on.
+// Drain begins a planned stop: from now on, responses close their connections.
 func (e *Entry) Drain() { e.drainingAt.CompareAndSwap(0, int64(e.now())) }
 
-// tooLate reports whether a planned stop would come before the answer of a
-// request that starts now.
+// tooLate reports whether a planned stop would come before the answer of a request that
+// starts now.
 //
-// Failure: a caller goes on using its connection while the process stops, and
-// its request starts shortly before the end. Symptom: the answer is cut off by
-// a stop that was planned. Callers that are refused go to another entry at once;
-// with twice the usual time and a little more, hardly an answer is cut.
+// Callers go on using their connections while the process stops, so a request can start
+// shortly before the end, and the stop would cut off its answer. Callers that are refused
+// go to another entry at once. With twice the typical time and a little more, hardly any
+// answer is cut.
 func (e *Entry) tooLate(p *pool, req *request) bool {
 	began := burdockclock.Millis(e.drainingAt.Load())
 	if began == 0 {
 		return false
 	}
-	if req.route.Stream && e.now()-began > stopStreams {
+	if req.route.Stream && e.now()-began > streamStartWindow {
 		return true
 	}
 	left := began + e.cfg.GraceMillis - e.now()
-	return left < stopFactor*p.usual()+stopSlack
+	return left < stopDurationFactor*p.typicalAnswerTime()+stopSlack
 }
 
 // Idle reports whether no request is in flight.
@@ -163,7 +164,7 @@
 
 func (e *Entry) now() burdockclock.Millis { return e.deps.Clock.Boot() }
 
-// pool returns what is known of the upstreams of a service.
+// pool returns the pool of a service, and creates it for the first request.
 func (e *Entry) pool(name burdockid.Service) *pool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -186,11 +187,11 @@
 	}
 }
 
-// ApplySnapshot hands a change of the site to the pools.
+// ApplySnapshot passes a change of the site to the pools.
 func (e *Entry) ApplySnapshot(snap *burdocksite.Snapshot) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, p := range e.pools {
-		p.follow(e.now(), snap)
+		p.applySnapshot(e.now(), snap)
 	}
 }
--- a/internal/serve/burdockdirect/gate.go
+++ b/internal/serve/burdockdirect/gate.go
@@ -13,152 +13,156 @@
 )
 
 const (
-	// classes is the number of priorities that routes and customers may have.
-	classes = 10
-	// maxQueued bounds what waits at one entry for one service. At a kilobyte
-	// or a few each it is some megabytes; the queue refuses by deadline long
-	// before.
+	// numPriorities is the number of priorities that routes and customers may have.
+	numPriorities = 10
+	// maxQueued bounds the requests that wait at one entry for one service. At a few
+	// kilobytes each they take some megabytes; the queue refuses requests by their
+	// deadlines long before.
 	maxQueued = 1024
-	// ranksOfClass is the number of the queue's classes for each priority: work
-	// that can be in time, and work that can't any more.
-	ranksOfClass = 2
-	// startFirstEvent is the usual time to a stream's first event until one has
-	// been seen: some passes.
-	startFirstEvent burdockclock.Millis = 200
-	// firstEventWeight makes a mean over as many streams.
-	firstEventWeight = 16
-	// tokensPerContext is the unit in which engines count context.
-	tokensPerContext = 1000
-	// patiencePart is the part of the time that callers wait for a first event
-	// which a request may spend waiting to be started. The rest is for placing
-	// it and for the engine to read its prompt beside the work that it has: a
-	// stream that is started as its caller gives up has cost every other stream
-	// time and brings nothing.
-	patiencePart = 0.7
-	// plainSlots is taken for a plain upstream that doesn't tell its slots.
-	plainSlots = 8
-	// retrySpread is the least span over which refused callers come back.
+	// queueClassesPerPriority is the number of queue classes for each priority: one for
+	// requests that can still meet their latency objective, one for those that can't.
+	queueClassesPerPriority = 2
+	// initialFirstEvent is the assumed time to a stream's first event until one has been
+	// observed: a few steps.
+	initialFirstEvent burdockclock.Millis = 200
+	// firstEventSamples is the number of streams over which the mean time to the first
+	// event is taken.
+	firstEventSamples = 16
+	// tokensPerContextUnit is the unit in which engines count context.
+	tokensPerContextUnit = 1000
+	// maxWaitFraction is the part of the callers' first-event timeout that a request may
+	// spend in the queue. The rest is for placing it and for the engine to read its prompt
+	// beside its other work. A stream that starts just as its caller gives up slows all
+	// other streams down for nothing.
+	maxWaitFraction = 0.7
+	// defaultSlots is assumed for an upstream of a plain service that doesn't report its
+	// slots.
+	defaultSlots = 8
+	// retrySpread is the minimum span over which the retries of refused callers are
+	// spread.
 	retrySpread burdockclock.Millis = 200
-	// logEvery bounds how often changes of the limit are logged.
-	logEvery = burdockclock.Second
-	// mostRetryAfter bounds the time to come back: callers wait seconds.
-	mostRetryAfter = 3 * burdockclock.Second
+	// limitLogInterval is the minimum time between two log lines about the admission
+	// limit.
+	limitLogInterval = burdockclock.Second
+	// maxRetryAfter bounds the Retry-After of a refusal: callers wait for seconds only.
+	maxRetryAfter = 3 * burdockclock.Second
 )
 
-// gate admits the requests of one service at this entry: it starts them, lets
-// them wait in order, or refuses them at once. The decisions are burdockqueue's
-// and burdockpace's; the gate holds the lock and the time.
+// gate controls the admission of requests to one service at this entry: it starts them,
+// queues them, or refuses them at once. The decisions are made by burdockqueue and
+// burdockpace; the gate adds the lock and the clock.
 type gate struct {
 	clock burdockclock.Clock
 	log   *zap.Logger
 
-	mu      sync.Mutex
-	queue   *burdockqueue.Queue
-	pace    *burdockpace.Limit  // nil for a plain service
-	paced   burdockpace.Engine  // of pace
-	longest burdockclock.Millis // of pace
-	group   *group              // nil unless the engines run in lock-step
-	slots   int
-	maxWait burdockclock.Millis
-	waiting map[burdockid.Request]*waiter
-	// firstEvent is the usual time from a stream's start to its first event.
-	firstEvent burdockclock.Millis
-	timer      *time.Timer
-	logAt      burdockclock.Millis // when a change of the limit is logged again
+	mu          sync.Mutex
+	queue       *burdockqueue.Queue
+	limit       *burdockpace.Limit  // nil for a plain service
+	limitEngine burdockpace.Engine  // that limit was created for
+	maxEventGap burdockclock.Millis // that limit was created for
+	group       *group              // nil unless the engines run in lock-step
+	slots       int
+	maxWait     burdockclock.Millis
+	waiting     map[burdockid.Request]*waiter
+	// typicalFirstEvent is the mean time from a stream's start to its first event.
+	typicalFirstEvent burdockclock.Millis
+	timer             *time.Timer
+	nextLogAt         burdockclock.Millis // earliest time of the next log line about the limit
 }
 
-// gateConfig is what a gate depends on when it is made.
+// gateConfig holds what a gate's limits are computed from.
 type gateConfig struct {
 	engine *burdocksite.Engine // nil for a plain service
-	// patience is how long callers wait for a first event, longest the pause
-	// between events that they accept; 0 where there are no streams.
-	patience burdockclock.Millis
-	longest  burdockclock.Millis
-	members  []burdocksite.Upstream
+	// firstEventTimeout is how long callers wait for a first event, maxEventGap the pause
+	// between events that they accept. Both are 0 if no route streams.
+	firstEventTimeout burdockclock.Millis
+	maxEventGap       burdockclock.Millis
+	members           []burdocksite.Upstream
 }
 
 func newGate(clock burdockclock.Clock, cfg gateConfig, p *pool) *gate {
 	g := &gate{
 		clock: clock, log: p.entry.deps.Log.With(zap.String("service", string(p.service))),
-		waiting: map[burdockid.Request]*waiter{}, firstEvent: startFirstEvent,
+		waiting: map[burdockid.Request]*waiter{}, typicalFirstEvent: initialFirstEvent,
 	}
-	g.takeUp(cfg)
-	g.queue = burdockqueue.New(g.config(), derive(p.random))
+	g.applyConfig(cfg)
+	g.queue = burdockqueue.New(g.queueConfig(), deriveRand(p.random))
 	return g
 }
 
-// takeUp makes the bound anew when what it depends on has changed.
-func (g *gate) takeUp(cfg gateConfig) {
-	g.maxWait = burdockclock.Millis(patiencePart * float64(cfg.patience))
+// applyConfig rebuilds the limit if anything that it depends on has changed.
+func (g *gate) applyConfig(cfg gateConfig) {
+	g.maxWait = burdockclock.Millis(maxWaitFraction * float64(cfg.firstEventTimeout))
 	engine, ok := paceEngine(cfg)
 	switch {
 	case !ok:
-		g.pace, g.paced, g.longest, g.group = nil, burdockpace.Engine{}, 0, nil
-		g.slots = placesOf(cfg.members)
-	case g.pace == nil || engine != g.paced || cfg.longest != g.longest:
-		g.paced, g.longest = engine, cfg.longest
-		g.pace = burdockpace.New(burdockpace.Config{}, engine, len(cfg.members), cfg.longest)
+		g.limit, g.limitEngine, g.maxEventGap, g.group = nil, burdockpace.Engine{}, 0, nil
+		g.slots = totalSlots(cfg.members)
+	case g.limit == nil || engine != g.limitEngine || cfg.maxEventGap != g.maxEventGap:
+		g.limitEngine, g.maxEventGap = engine, cfg.maxEventGap
+		g.limit = burdockpace.New(burdockpace.Config{}, engine, len(cfg.members), cfg.maxEventGap)
 		g.group = nil
 		if cfg.engine.Layers > 0 {
-			g.group = newGroup(cfg.longest)
+			g.group = newGroup(cfg.maxEventGap)
 		}
-		g.slots = max(g.slots, g.pace.MaxStreams(g.paceNow(), 0))
+		g.slots = max(g.slots, g.limit.MaxStreams(g.reportClock(), 0))
 	default:
-		g.pace.SetEngines(names(cfg.members))
+		g.limit.SetEngines(upstreamIDs(cfg.members))
 	}
 }
 
-// paceEngine returns the figures of a service's engines, and false if it has no
-// engines or no streams.
+// paceEngine returns the figures of a service's engines; false if it has no engines or no
+// streams.
 func paceEngine(cfg gateConfig) (burdockpace.Engine, bool) {
 	e := cfg.engine
-	if e == nil || cfg.longest <= 0 {
+	if e == nil || cfg.maxEventGap <= 0 {
 		return burdockpace.Engine{}, false
 	}
 	return burdockpace.Engine{
 		Slots: e.Slots, StepsPerEvent: e.Stride, BaseStepMillis: e.StepMillis,
-		StepMillisPerRequest: sequenceMillis(e),
+		StepMillisPerRequest: stepMillisPerRequest(e),
 	}, true
 }
 
-// sequenceMillis is the part of a token step for each request with its context.
-func sequenceMillis(e *burdocksite.Engine) float64 {
-	return e.SequenceMillis + e.ContextMillis*float64(e.UsualPrompt)/tokensPerContext
+// stepMillisPerRequest returns how much each request adds to a token step, given its
+// typical context.
+func stepMillisPerRequest(e *burdocksite.Engine) float64 {
+	return e.SequenceMillis + e.ContextMillis*float64(e.UsualPrompt)/tokensPerContextUnit
 }
 
-func placesOf(members []burdocksite.Upstream) int {
-	places := 0
+func totalSlots(members []burdocksite.Upstream) int {
+	slots := 0
 	for _, u := range members {
 		if u.Slots > 0 {
-			places += u.Slots
+			slots += u.Slots
 		} else {
-			places += plainSlots
+			slots += defaultSlots
 		}
 	}
-	return max(places, 1)
+	return max(slots, 1)
 }
 
-func (g *gate) config() burdockqueue.Config {
+func (g *gate) queueConfig() burdockqueue.Config {
 	cfg := burdockqueue.Config{
 		Slots: max(g.slots, 1), MaxQueued: maxQueued,
-		RetrySpread: retrySpread, MaxRetryAfter: mostRetryAfter,
+		RetrySpread: retrySpread, MaxRetryAfter: maxRetryAfter,
 	}
-	for range classes * ranksOfClass {
+	for range numPriorities * queueClassesPerPriority {
 		cfg.Classes = append(cfg.Classes, burdockqueue.ClassConfig{MaxWait: g.maxWait})
 	}
 	return cfg
 }
 
-// follow takes up other members and another configuration.
-func (g *gate) follow(cfg gateConfig) {
+// reconfigure applies changed members or a changed configuration.
+func (g *gate) reconfigure(cfg gateConfig) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.takeUp(cfg)
-	g.queue.Reconfigure(g.clock.Boot(), g.config())
-	g.advance()
+	g.applyConfig(cfg)
+	g.queue.Reconfigure(g.clock.Boot(), g.queueConfig())
+	g.dispatch()
 }
 
-func names(members []burdocksite.Upstream) []burdockid.Upstream {
+func upstreamIDs(members []burdocksite.Upstream) []burdockid.Upstream {
 	list := make([]burdockid.Upstream, len(members))
 	for i, u := range members {
 		list[i] = u.ID
@@ -169,53 +173,54 @@
 func (g *gate) resize(slots int) {
 	if slots != g.slots {
 		g.slots = slots
-		g.queue.Reconfigure(g.clock.Boot(), g.config())
+		g.queue.Reconfigure(g.clock.Boot(), g.queueConfig())
 	}
 }
 
-// report takes in the load that an engine told.
-func (g *gate) report(u burdockid.Upstream, l Load, own int) {
+// reportLoad records the load that an engine reported; own of its requests are from this
+// entry.
+func (g *gate) reportLoad(u burdockid.Upstream, l Load, own int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.pace != nil {
-		g.pace.Report(g.paceNow(), u, l.Running+l.Waiting, own)
-		g.advance()
+	if g.limit != nil {
+		g.limit.Report(g.reportClock(), u, l.Running+l.Waiting, own)
+		g.dispatch()
 	}
 }
 
-// pause tells of the time between two events of a stream.
-func (g *gate) pause(pause burdockclock.Millis) {
+// observeEventGap records the time between two events of a stream.
+func (g *gate) observeEventGap(gap burdockclock.Millis) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.pace == nil {
+	if g.limit == nil {
 		return
 	}
 	if g.group != nil {
 		g.group.StreamEvent(g.clock.Boot())
 	}
-	if g.group == nil || g.group.IsStepInterval(pause) {
-		g.pace.ObserveEventGap(g.paceNow(), pause)
+	if g.group == nil || g.group.IsStepInterval(gap) {
+		g.limit.ObserveEventGap(g.reportClock(), gap)
 	}
-	g.advance()
+	g.dispatch()
 }
 
-// began tells of the time from a stream's start to its first event.
-func (g *gate) began(took burdockclock.Millis) {
+// observeFirstEvent records the time from a stream's start to its first event.
+func (g *gate) observeFirstEvent(took burdockclock.Millis) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.firstEvent += (took - g.firstEvent) / firstEventWeight
+	g.typicalFirstEvent += (took - g.typicalFirstEvent) / firstEventSamples
 	if g.group != nil {
 		g.group.FirstEvent(g.clock.Boot())
-		g.advance()
+		g.dispatch()
 	}
 }
 
-// leave ends a request that was started.
-func (g *gate) leave(id burdockid.Request, served burdockid.Tokens) {
+// finish ends a request that was started.
+func (g *gate) finish(id burdockid.Request, served burdockid.Tokens) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.queue.Finish(g.clock.Boot(), id, served)
-	g.advance()
+	g.dispatch()
 }
 
 func (g *gate) cancel(id burdockid.Request) {
@@ -223,30 +228,31 @@
 	defer g.mu.Unlock()
 	delete(g.waiting, id)
 	g.queue.Cancel(g.clock.Boot(), id)
-	g.advance()
+	g.dispatch()
 }
 
-// requests returns how many requests each engine has, on average; 0 for a plain
+// requestsPerEngine returns the mean number of requests at each engine; 0 for a plain
 // service.
-func (g *gate) requests() float64 {
+func (g *gate) requestsPerEngine() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.pace == nil {
+	if g.limit == nil {
 		return 0
 	}
-	return g.pace.State(g.paceNow()).Load
+	return g.limit.State(g.reportClock()).Load
 }
 
-// load returns what runs and waits, and the present bound.
+// load returns the numbers of running and queued requests and the current limit.
 func (g *gate) load() burdockqueue.Load {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.queue.Load()
 }
 
-// advance tells those who wait what became of them. The lock must be held.
-func (g *gate) advance() {
-	g.fit(false)
+// dispatch updates the limit and notifies the waiting requests that were started or
+// dropped. The lock must be held.
+func (g *gate) dispatch() {
+	g.updateLimit(false)
 	for _, event := range g.queue.Dispatch(g.clock.Boot()) {
 		var id burdockid.Request
 		switch e := event.(type) {
@@ -257,51 +263,51 @@
 		}
 		if w, ok := g.waiting[id]; ok {
 			delete(g.waiting, id)
-			w.told <- event
+			w.decision <- event
 		}
 	}
-	g.arm()
+	g.armTimer()
 }
 
-// fit takes over how many streams may run now, if one more is wanted or not. The
-// lock must be held.
-func (g *gate) fit(wanted bool) {
-	if g.pace == nil {
+// updateLimit recomputes how many streams may run. If wanted, a request is about to ask
+// for a start. The lock must be held.
+func (g *gate) updateLimit(wanted bool) {
+	if g.limit == nil {
 		return
 	}
 	load := g.queue.Load()
 	before := g.slots
 	now := g.clock.Boot()
-	g.resize(g.bound(now, load.Running, wanted || load.Queued > 0))
-	if g.slots == before || now < g.logAt {
+	g.resize(g.streamLimit(now, load.Running, wanted || load.Queued > 0))
+	if g.slots == before || now < g.nextLogAt {
 		return
 	}
-	g.logAt = now + logEvery
-	state := g.pace.State(g.paceNow())
+	g.nextLogAt = now + limitLogInterval
+	state := g.limit.State(g.reportClock())
 	g.log.Info("admission limit", zap.Int("limit", g.slots), zap.Int("running", load.Running), zap.Int("waiting", load.Queued),
 		zap.Float64("engineLoad", state.Load), zap.Float64("engineMost", state.MaxPerEngine),
 		zap.Float64("passFactor", state.Slowdown), zap.Float64("usualFactor", state.TypicalSlowdown))
 }
 
-// arm sets the timer for the next instant at which the queue has something to
-// tell by itself. The lock must be held.
-func (g *gate) arm() {
+// armTimer sets the timer for the next time at which the queue or the group needs
+// attention without any other event. The lock must be held.
+func (g *gate) armTimer() {
 	if g.timer != nil {
 		g.timer.Stop()
 		g.timer = nil
 	}
 	at, ok := g.queue.WakeAt()
-	if g.closed() && g.queue.Load().Queued > 0 && (!ok || g.group.NextProbeAt() < at) {
+	if g.groupClosed() && g.queue.Load().Queued > 0 && (!ok || g.group.NextProbeAt() < at) {
 		at, ok = g.group.NextProbeAt(), true
 	}
 	if ok {
-		g.timer = time.AfterFunc(max(at-g.clock.Boot(), 1).Duration(), g.run)
+		g.timer = time.AfterFunc(max(at-g.clock.Boot(), 1).Duration(), g.onTimer)
 	}
 }
 
-// run is the timer's.
-func (g *gate) run() {
+// onTimer handles the expiry of the timer.
+func (g *gate) onTimer() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.advance()
+	g.dispatch()
 }
--- a/internal/serve/burdockdirect/opening_test.go
+++ b/internal/serve/burdockdirect/group_test.go
@@ -63,7 +63,7 @@
 // a first try to what broke it up has no other left. They are no more than the retries
 // that an entry has at once, as each may find out once that the group is closed.
 func TestCallersWaitForAGroupThatForms(t *testing.T) {
-	const callers = retryFloor - 2
+	const callers = minRetries - 2
 	g := &lockStepGroup{}
 	f := newFixture(t, 30_000, newUpstream(t, g.serve), newUpstream(t, g.serve), newUpstream(t, g.serve))
 	f.lockStep(20 * burdockclock.Second)
@@ -71,7 +71,7 @@
 	replies := f.sendMany(t, callers, func() {
 		await(t, "all wait", func() bool {
 			load := gate.load()
-			return load.Queued+load.Running == callers && gate.opening() != nil
+			return load.Queued+load.Running == callers && gate.openSignal() != nil
 		})
 		g.open.Store(true)
 	})
@@ -123,7 +123,7 @@
 	state := func() burdocklockstep.State {
 		gate.mu.Lock()
 		defer gate.mu.Unlock()
-		return gate.look(gate.clock.Boot())
+		return gate.updateGroupState(gate.clock.Boot())
 	}
 	f.sendMany(t, 12, func() {
 		time.Sleep(30 * time.Millisecond)
--- a/internal/serve/burdockdirect/meters.go
+++ b/internal/serve/burdockdirect/metrics.go
@@ -8,7 +8,7 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// meters are the entry's counters. No label has a value that a caller chose.
+// meters holds the entry's metrics. No label has a value that a caller chose.
 type meters struct {
 	set         *metrics.Set
 	requests    *metrics.Counter
@@ -29,20 +29,20 @@
 	}
 }
 
-// refused counts an answer of the entry's own. Statuses are few.
-func (m *meters) refused(status int) {
+// countRefusal counts a refusal by the entry itself. There are few different statuses.
+func (m *meters) countRefusal(status int) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("burdock_direct_refused_total{status=%q}", fmt.Sprint(status))).Inc()
 }
 
-// ended counts how an offer ended and how long it took. Services and outcomes
-// are few.
-func (m *meters) ended(service burdockid.Service, outcome outcome, took burdockclock.Millis) {
+// recordOffer records how an offer ended and how long it took. There are few services and
+// outcomes.
+func (m *meters) recordOffer(service burdockid.Service, outcome outcome, took burdockclock.Millis) {
 	labels := fmt.Sprintf("{service=%q,outcome=%q}", service, outcome)
 	m.set.GetOrCreateHistogram("burdock_direct_offer_seconds" + labels).Update(took.Duration().Seconds())
 }
 
-// follow exports what a service's gate and pool believe.
-func (m *meters) follow(p *pool) {
+// exportGauges registers the gauges of a service's gate and pool.
+func (m *meters) exportGauges(p *pool) {
 	label := fmt.Sprintf("{service=%q}", p.service)
 	for name, value := range map[string]func() float64{
 		"burdock_direct_running":  func() float64 { return float64(p.gate.load().Running) },
--- a/internal/serve/burdockdirect/pool.go
+++ b/internal/serve/burdockdirect/pool.go
@@ -17,79 +17,79 @@
 )
 
 const (
-	// retryFraction is the number of retries for each recent success: half of
-	// what the platform allows all entries together, as some see more failures
-	// than others.
-	retryFraction = 0.1
-	// retryFloor is how many retries an entry has within the budget's ten seconds
-	// whatever it sees: those of one upstream that freezes with the requests that
-	// it has. Sixteen entries together stay within what the platform allows
-	// beside the fraction.
-	retryFloor = 8
+	// retryRatio is the number of retries for each recent success: half of what the
+	// platform allows all entries together, since some entries see more failures than
+	// others.
+	retryRatio = 0.1
+	// minRetries is how many retries an entry always has within the budget's window of ten
+	// seconds: enough for the requests of one upstream that freezes. Sixteen entries
+	// together stay within what the platform allows on top of the ratio.
+	minRetries = 8
 )
 
-// pool is what an entry knows of the upstreams of one service. It puts a lock
-// around the pure decisions.
+// pool holds the state of one service's upstreams at an entry. It guards the decision
+// packages, which are not safe for concurrent use, with its lock.
 type pool struct {
 	service burdockid.Service
 	entry   *Entry
 	gate    *gate
 	random  *rand.Rand
 
-	mu      sync.Mutex
-	placer  *burdockplace.Placer
-	tracker *burdockeject.Tracker
-	budget  *burdockretry.Budget
-	members map[burdockid.Upstream]burdocksite.Upstream
-	engine  *burdocksite.Engine
-	config  *burdocksite.Config        // that was taken up last
-	own     map[burdockid.Upstream]int // offers in flight
-	// speeds are those of slow engines, by address, and bySpeed the weights that
+	mu       sync.Mutex
+	placer   *burdockplace.Placer
+	tracker  *burdockeject.Tracker
+	budget   *burdockretry.Budget
+	members  map[burdockid.Upstream]burdocksite.Upstream
+	engine   *burdocksite.Engine
+	config   *burdocksite.Config        // last one applied
+	inFlight map[burdockid.Upstream]int // offers in flight
+	// speeds holds the speeds of slow engines by address, weightBySpeed the weights that
 	// follow from them.
-	speeds  map[string]burdockspeed.Speed
-	bySpeed map[burdockid.Upstream]float64
-	moves   moves
-	// doubts holds which upstreams of a plain service failed a request of late.
-	doubts *burdockdoubt.Tracker
-	// usualTook is how long an answer usually takes from its offer to its end.
-	usualTook burdockclock.Millis
-	// heard is when each upstream with offers in flight was last heard from.
-	heard map[burdockid.Upstream]heard
-	// firstEvent is the usual time from an offer of a stream to its first event,
-	// and patience how long callers wait for that.
-	firstEvent burdockclock.Millis
-	patience   burdockclock.Millis
-	// progressAt is when any stream of the service last had an event, and
-	// progressFrom since when they have had some without a pause.
-	progressAt   burdockclock.Millis
-	progressFrom burdockclock.Millis
-}
-
-// heard is when an upstream had an event, or got the first of the offers that it
-// has.
-type heard struct {
-	at    burdockclock.Millis
-	event bool
+	speeds        map[string]burdockspeed.Speed
+	weightBySpeed map[burdockid.Upstream]float64
+	migrations    migrations
+	// suspected tracks the upstreams of a plain service that recently failed a request.
+	suspected *burdockdoubt.Tracker
+	// typicalDuration is the mean time from an offer to the end of its answer; 0 until
+	// there has been an answer.
+	typicalDuration burdockclock.Millis
+	// lastContact holds the last contact with each upstream that has offers in flight.
+	lastContact map[burdockid.Upstream]contact
+	// typicalFirstEvent is the mean time from the offer of a stream to its first event,
+	// firstEventTimeout how long callers wait for that.
+	typicalFirstEvent burdockclock.Millis
+	firstEventTimeout burdockclock.Millis
+	// lastEventAt is the time of the latest event of any stream of the service,
+	// eventsSince the time since which events have come without a pause.
+	lastEventAt burdockclock.Millis
+	eventsSince burdockclock.Millis
+}
+
+// contact is when an upstream last sent an event or, if it has sent none, when the first
+// of its offers in flight was made.
+type contact struct {
+	at      burdockclock.Millis
+	isEvent bool
 }
 
 func newPool(service burdockid.Service, e *Entry) *pool {
 	random := rand.New(rand.NewPCG(e.deps.Seed, uint64(time.Now().UnixNano())))
 	p := &pool{
-		service: service, entry: e, random: random, own: map[burdockid.Upstream]int{}, moves: moves{}, doubts: burdockdoubt.New(burdockdoubt.Config{}),
-		heard: map[burdockid.Upstream]heard{}, firstEvent: startFirstEvent,
-		placer:  burdockplace.New(burdockplace.Config{}, derive(random)),
-		tracker: burdockeject.New(burdockeject.Config{}, derive(random)),
-		budget:  burdockretry.New(burdockretry.Config{RetryRatio: retryFraction, MinRetries: retryFloor}, derive(random)),
+		service: service, entry: e, random: random, inFlight: map[burdockid.Upstream]int{}, migrations: migrations{}, suspected: burdockdoubt.New(burdockdoubt.Config{}),
+		lastContact: map[burdockid.Upstream]contact{}, typicalFirstEvent: initialFirstEvent,
+		placer:  burdockplace.New(burdockplace.Config{}, deriveRand(random)),
+		tracker: burdockeject.New(burdockeject.Config{}, deriveRand(random)),
+		budget:  burdockretry.New(burdockretry.Config{RetryRatio: retryRatio, MinRetries: minRetries}, deriveRand(random)),
 	}
 	snap := e.deps.Site.Now()
 	p.engine = engineOf(snap, service)
 	p.gate = newGate(e.deps.Clock, gateConfigOf(snap, service), p)
-	p.follow(e.now(), snap)
-	e.meters.follow(p)
+	p.applySnapshot(e.now(), snap)
+	e.meters.exportGauges(p)
 	return p
 }
 
-func derive(random *rand.Rand) *rand.Rand {
+func deriveRand(random *rand.Rand) *rand.Rand {
 	return rand.New(rand.NewPCG(random.Uint64(), random.Uint64()))
 }
 
@@ -100,84 +100,85 @@
 	return snap.Config.Services[service].Engine
 }
 
-// streamsOf returns how long callers of a service's streams wait for a first
-// event, and the pause between events that they accept: the least of all routes.
-func streamsOf(snap *burdocksite.Snapshot, service burdockid.Service) (patience, longest burdockclock.Millis) {
+// streamTimeouts returns how long callers of a service's streams wait for a first event,
+// and the gap between events that they accept. Each is the minimum over all routes, or 0
+// if there is none.
+func streamTimeouts(snap *burdocksite.Snapshot, service burdockid.Service) (firstEventTimeout, maxEventGap burdockclock.Millis) {
 	if snap.Config == nil {
 		return 0, 0
 	}
 	for _, route := range snap.Config.Routes {
 		for _, share := range route.Shares {
 			if share.Service == service && route.Stream {
-				patience = leastOf(patience, route.Patience)
-				longest = leastOf(longest, route.Gap)
+				firstEventTimeout = minNonZero(firstEventTimeout, route.Patience)
+				maxEventGap = minNonZero(maxEventGap, route.Gap)
 			}
 		}
 	}
-	return patience, longest
+	return firstEventTimeout, maxEventGap
 }
 
-// leastOf returns the lesser of two spans, of which 0 stands for none.
-func leastOf(a, b burdockclock.Millis) burdockclock.Millis {
+// minNonZero returns the shorter of two times, where 0 means none.
+func minNonZero(a, b burdockclock.Millis) burdockclock.Millis {
 	if a == 0 || b != 0 && b < a {
 		return b
 	}
 	return a
 }
 
-// startModel and startPlain are how long an answer is taken to take until one
-// has been seen: longer than they usually do.
+// initialEngineDuration and initialPlainDuration are the assumed durations of an answer
+// until one has completed. They are longer than answers usually take.
 const (
-	startModel = 3 * burdockclock.Second
-	startPlain = 200 * burdockclock.Millis(1)
+	initialEngineDuration = 3 * burdockclock.Second
+	initialPlainDuration  = 200 * burdockclock.Millis(1)
 )
 
-// usualWeight makes the usual time a mean over as many answers.
-const usualWeight = 16
+// durationSamples is the number of answers over which the mean duration is taken.
+const durationSamples = 16
 
-// usual returns how long an answer usually takes.
-func (p *pool) usual() burdockclock.Millis {
+// typicalAnswerTime returns how long an answer typically takes.
+func (p *pool) typicalAnswerTime() burdockclock.Millis {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case p.usualTook > 0:
-		return p.usualTook
+	case p.typicalDuration > 0:
+		return p.typicalDuration
 	case p.engine != nil:
-		return startModel
+		return initialEngineDuration
 	}
-	return startPlain
+	return initialPlainDuration
 }
 
-// follow takes up the members that the site shows now.
-func (p *pool) follow(now burdockclock.Millis, snap *burdocksite.Snapshot) {
+// applySnapshot applies the members and the configuration of a site snapshot.
+func (p *pool) applySnapshot(now burdockclock.Millis, snap *burdocksite.Snapshot) {
 	cfg := gateConfigOf(snap, p.service)
-	p.setPatience(cfg.patience)
-	if p.takeUp(now, cfg.members, snap.Config, p.gate.requests()) {
-		p.gate.follow(cfg)
+	p.setFirstEventTimeout(cfg.firstEventTimeout)
+	if p.updateMembers(now, cfg.members, snap.Config, p.gate.requestsPerEngine()) {
+		p.gate.reconfigure(cfg)
 	}
 }
 
-func (p *pool) setPatience(patience burdockclock.Millis) {
+func (p *pool) setFirstEventTimeout(timeout burdockclock.Millis) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.patience = patience
+	p.firstEventTimeout = timeout
 }
 
-// gateConfigOf returns what a service's gate depends on.
+// gateConfigOf returns the gate configuration of a service.
 func gateConfigOf(snap *burdocksite.Snapshot, service burdockid.Service) gateConfig {
 	cfg := gateConfig{engine: engineOf(snap, service), members: snap.Members(service)}
-	cfg.patience, cfg.longest = streamsOf(snap, service)
+	cfg.firstEventTimeout, cfg.maxEventGap = streamTimeouts(snap, service)
 	return cfg
 }
 
-// takeUp reports whether members or configuration are news.
-func (p *pool) takeUp(now burdockclock.Millis, members []burdocksite.Upstream, cfg *burdocksite.Config, requests float64) bool {
+// updateMembers applies members and configuration, and reports whether either has changed.
+func (p *pool) updateMembers(now burdockclock.Millis, members []burdocksite.Upstream, cfg *burdocksite.Config, requests float64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	news := p.config != cfg
+	changed := p.config != cfg
 	p.config = cfg
-	if p.members != nil && p.same(members) {
-		return news
+	if p.members != nil && p.sameMembers(members) {
+		return changed
 	}
 	p.members = map[burdockid.Upstream]burdocksite.Upstream{}
 	var names []burdockid.Upstream
@@ -186,11 +187,11 @@
 		names = append(names, u.ID)
 	}
 	p.tracker.SetMembers(now, names)
-	p.moves.keep(p.members)
-	p.bySpeed = speedWeights(engineOf(p.entry.deps.Site.Now(), p.service), p.members, p.speeds, requests)
+	p.migrations.retain(p.members)
+	p.weightBySpeed = speedWeights(engineOf(p.entry.deps.Site.Now(), p.service), p.members, p.speeds, requests)
 	placed := make([]burdockplace.Member, len(names))
 	for i, name := range names {
-		placed[i] = burdockplace.Member{Upstream: name, DataCentre: p.members[name].DataCentre, Weight: p.weightNow(name)}
+		placed[i] = burdockplace.Member{Upstream: name, DataCentre: p.members[name].DataCentre, Weight: p.effectiveWeight(name)}
 	}
 	p.placer.SetMembers(now, placed)
 	return true
@@ -203,7 +204,7 @@
 	return len(p.members)
 }
 
-func (p *pool) same(members []burdocksite.Upstream) bool {
+func (p *pool) sameMembers(members []burdocksite.Upstream) bool {
 	if len(members) != len(p.members) {
 		return false
 	}
@@ -215,16 +216,16 @@
 	return true
 }
 
-// choose places one offer, with stay if that is still a member.
-func (p *pool) choose(now burdockclock.Millis, req *request, refused map[burdockid.Upstream]bool, stay burdockid.Upstream) (burdocksite.Upstream, burdockplace.Reason, bool) {
+// choose selects the upstream for one offer: preferred, if that is still a member.
+func (p *pool) choose(now burdockclock.Millis, req *request, excluded map[burdockid.Upstream]bool, preferred burdockid.Upstream) (burdocksite.Upstream, burdockplace.Reason, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.isMember(stay) {
-		p.send(now, stay, req.cost)
-		return p.members[stay], "stay", true
+	if p.isMember(preferred) {
+		p.offerStarted(now, preferred, req.cost)
+		return p.members[preferred], "stay", true
 	}
-	skip := func(u burdockid.Upstream) bool { return refused[u] || p.silentNow(now, u) }
-	avoid := p.avoided(now, req)
+	skip := func(u burdockid.Upstream) bool { return excluded[u] || p.isSilentLocked(now, u) }
+	avoid := p.suspectedFor(now, req)
 	choice, ok := p.placer.Choose(now, burdockplace.Request{
 		DataCentre: p.entry.cfg.DataCentre, Cost: req.cost,
 		Exclude: func(u burdockid.Upstream) bool { return avoid[u] || skip(u) },
@@ -232,10 +233,10 @@
 	if !ok && len(avoid) > 0 {
 		choice, ok = p.placer.Choose(now, burdockplace.Request{DataCentre: p.entry.cfg.DataCentre, Cost: req.cost, Exclude: skip})
 	}
-	// Only what may be sent again finds out about an upstream that has failed: a
-	// probe that is due and not made would be missed for long.
+	// Only repeatable requests probe an ejected upstream. A probe that is due goes
+	// first: if it were skipped, the upstream would stay ejected for long.
 	if req.route.Repeatable() {
-		if probe, due := p.tracker.NextProbe(now); due && !refused[probe] && p.isMember(probe) {
+		if probe, due := p.tracker.NextProbe(now); due && !excluded[probe] && p.isMember(probe) {
 			choice.Upstream, choice.Reason, ok = probe, "probe", true
 		}
 	}
@@ -246,7 +247,7 @@
 	if !ok || !p.isMember(choice.Upstream) {
 		return burdocksite.Upstream{}, "", false
 	}
-	p.send(now, choice.Upstream, req.cost)
+	p.offerStarted(now, choice.Upstream, req.cost)
 	return p.members[choice.Upstream], choice.Reason, true
 }
 
@@ -255,40 +256,40 @@
 	return member
 }
 
-// send notes an offer. The lock must be held.
-func (p *pool) send(now burdockclock.Millis, u burdockid.Upstream, cost burdockid.Tokens) {
+// offerStarted records an offer to an upstream. The lock must be held.
+func (p *pool) offerStarted(now burdockclock.Millis, u burdockid.Upstream, cost burdockid.Tokens) {
 	p.placer.Sent(now, u, cost)
-	if p.own[u]++; p.own[u] == 1 {
-		p.heard[u] = heard{at: now}
+	if p.inFlight[u]++; p.inFlight[u] == 1 {
+		p.lastContact[u] = contact{at: now}
 	}
 }
 
-// done ends an offer.
-func (p *pool) done(now burdockclock.Millis, u burdockid.Upstream, cost burdockid.Tokens) {
+// offerEnded records the end of an offer.
+func (p *pool) offerEnded(now burdockclock.Millis, u burdockid.Upstream, cost burdockid.Tokens) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.placer.Done(now, u, cost)
-	if p.own[u]--; p.own[u] <= 0 {
-		delete(p.own, u)
-		delete(p.heard, u)
+	if p.inFlight[u]--; p.inFlight[u] <= 0 {
+		delete(p.inFlight, u)
+		delete(p.lastContact, u)
 	}
 }
 
-// report takes in the load that an upstream told.
-func (p *pool) report(now burdockclock.Millis, u burdockid.Upstream, l *Load) {
+// reportLoad records the load that an upstream reported; nil is ignored.
+func (p *pool) reportLoad(now burdockclock.Millis, u burdockid.Upstream, l *Load) {
 	if l == nil {
 		return
 	}
 	p.mu.Lock()
-	own := p.own[u]
+	own := p.inFlight[u]
 	p.mu.Unlock()
-	p.gate.report(u, *l, own)
+	p.gate.reportLoad(u, *l, own)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.placer.Report(now, u, burdockplace.Report{Running: l.Running, Queued: l.Waiting, Slots: l.Slots})
 }
 
-// observe takes in what an offer showed of an upstream's health.
+// observe records what an offer showed about an upstream's health.
 func (p *pool) observe(now burdockclock.Millis, u burdockid.Upstream, o burdockeject.Observation) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -296,129 +297,129 @@
 	if !changed {
 		return
 	}
-	p.weigh(change.Upstream)
+	p.updateWeight(change.Upstream)
 	p.entry.deps.Log.Info("upstream weighted", zap.String("upstream", string(change.Upstream)),
 		zap.String("service", string(p.service)), zap.String("cause", string(change.Cause)), zap.Float64("weight", change.Weight))
 }
 
-// replaced notes that another process answers at an upstream's address.
+// markReplaced records that another process answers at an upstream's address.
 //
-// Failure: an upstream was restarted, and its record still shows the old
-// process. Symptom: each request that is placed there is refused and has used
-// up one of its few offers. The old process is gone for good: the new one is a
-// member of its own when its record comes, so nothing more is sent to the old.
-func (p *pool) replaced(now burdockclock.Millis, u burdockid.Upstream) {
+// After a restart, the record of an upstream still shows the old process for a while. Each
+// request that is placed there is refused and has used up one of its few offers. The old
+// process never comes back, and the new one becomes a member of its own once it has a
+// record, so the old one gets nothing more.
+func (p *pool) markReplaced(now burdockclock.Millis, u burdockid.Upstream) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if _, changed := p.tracker.MarkLeaving(now, u); changed {
-		p.weigh(u)
+		p.updateWeight(u)
 		p.entry.deps.Log.Info("upstream replaced", zap.String("upstream", string(u)), zap.String("service", string(p.service)))
 	}
 }
 
-func (p *pool) decide(now burdockclock.Millis, a burdockretry.Attempt) burdockretry.Decision {
+func (p *pool) decideRetry(now burdockclock.Millis, a burdockretry.Attempt) burdockretry.Decision {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.budget.Decide(now, a)
 }
 
-func (p *pool) noUpstream(now burdockclock.Millis) burdockretry.GiveUp {
+func (p *pool) giveUpNoUpstream(now burdockclock.Millis) burdockretry.GiveUp {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.budget.GiveUpNoUpstream(now)
 }
 
-// groupClosed returns the decision for a request whose engines' group stayed closed.
-func (p *pool) groupClosed(now burdockclock.Millis) burdockretry.GiveUp {
+// giveUpGroupClosed returns the decision for a request whose group stayed closed.
+func (p *pool) giveUpGroupClosed(now burdockclock.Millis) burdockretry.GiveUp {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.budget.GiveUpGroupClosed(now)
 }
 
-func (p *pool) succeeded(now, took burdockclock.Millis) {
+func (p *pool) recordSuccess(now, took burdockclock.Millis) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.usualTook == 0 {
-		p.usualTook = took
+	if p.typicalDuration == 0 {
+		p.typicalDuration = took
 	}
-	p.usualTook += (took - p.usualTook) / usualWeight
+	p.typicalDuration += (took - p.typicalDuration) / durationSamples
 	p.budget.RecordSuccess(now)
 }
 
-// progress notes an event of a stream.
-func (p *pool) progress(now burdockclock.Millis, u burdockid.Upstream) {
+// recordEvent records an event of a stream.
+func (p *pool) recordEvent(now burdockclock.Millis, u burdockid.Upstream) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now-p.progressAt > silence/2 {
-		p.progressFrom = now
+	if now-p.lastEventAt > silenceTimeout/2 {
+		p.eventsSince = now
 	}
-	p.progressAt = now
-	p.heard[u] = heard{at: now, event: true}
+	p.lastEventAt = now
+	p.lastContact[u] = contact{at: now, isEvent: true}
 }
 
-// began tells of the time from a stream's offer to its first event.
-func (p *pool) began(took burdockclock.Millis) {
+// recordFirstEvent records the time from a stream's offer to its first event.
+func (p *pool) recordFirstEvent(took burdockclock.Millis) {
 	p.mu.Lock()
-	p.firstEvent += (took - p.firstEvent) / firstEventWeight
+	p.typicalFirstEvent += (took - p.typicalFirstEvent) / firstEventSamples
 	p.mu.Unlock()
-	p.gate.began(took)
+	p.gate.observeFirstEvent(took)
 }
 
-// firstSilence is how long a stream may have no first event.
+// firstEventLimit returns how long a stream may wait for its first event before its
+// connection counts as lost.
 //
-// Failure: engines are full, and what is sent to them stands in their queues.
-// Symptom: a first event that takes longer than the silence limit is taken for a
-// lost connection; the caller is told that the outcome is unknown, and the engine
-// works for nobody. Where first events take long everywhere, more time is given;
-// not so much that the caller is gone before another engine could answer.
-func (p *pool) firstSilence() burdockclock.Millis {
-	return max(min(usualsPerSilence*p.firstEvent, p.patience-p.firstEvent), silence)
+// When engines are full, streams wait in their queues, and a first event may take longer
+// than silenceTimeout. Taking that for a lost connection would tell the caller that the
+// outcome is unknown while the engine works for nobody. The limit therefore grows with the
+// typical time to a first event, but leaves another engine enough time to answer before
+// the caller gives up.
+func (p *pool) firstEventLimit() burdockclock.Millis {
+	return max(min(firstEventFactor*p.typicalFirstEvent, p.firstEventTimeout-p.typicalFirstEvent), silenceTimeout)
 }
 
-// usualsPerSilence is how many times as long as usual a first event may take.
-const usualsPerSilence = 4
+// firstEventFactor is how many times the typical time a first event may take.
+const firstEventFactor = 4
 
-// silent reports whether an upstream that has offers is silent while others are
-// not.
-func (p *pool) silent(now burdockclock.Millis, u burdockid.Upstream) bool {
+// isSilent reports whether an upstream that has offers is silent while others are not.
+func (p *pool) isSilent(now burdockclock.Millis, u burdockid.Upstream) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.silentNow(now, u) {
+	if !p.isSilentLocked(now, u) {
 		return false
 	}
-	if last := p.heard[u]; !last.event {
-		// Left out, the longest first events would never be counted.
-		p.firstEvent += (now - last.at - p.firstEvent) / firstEventWeight
+	if last := p.lastContact[u]; !last.isEvent {
+		// Otherwise the longest waits for a first event would never enter the mean.
+		p.typicalFirstEvent += (now - last.at - p.typicalFirstEvent) / firstEventSamples
 	}
 	return true
 }
 
-// silentNow is silent with the lock held.
+// isSilentLocked is isSilent with the lock held, and leaves the mean as it is.
 //
-// Failure: an upstream's VM is frozen or cut off. Symptom: what is sent to it
-// waits in buffers, and each caller leaves after some seconds without an event.
-// Engines in lock-step write at one pace, so one that has had nothing to say for
-// many passes while others had is out of reach.
-func (p *pool) silentNow(now burdockclock.Millis, u burdockid.Upstream) bool {
-	last, busy := p.heard[u]
-	limit := silence
-	if !last.event {
-		limit = p.firstSilence()
+// When an upstream's VM is frozen or cut off, requests to it wait in buffers, and their
+// callers give up after some seconds without an event. Engines in lock-step emit events at
+// the same pace, so one that has sent none for many steps while others have is
+// unreachable.
+func (p *pool) isSilentLocked(now burdockclock.Millis, u burdockid.Upstream) bool {
+	last, busy := p.lastContact[u]
+	limit := silenceTimeout
+	if !last.isEvent {
+		limit = p.firstEventLimit()
 	}
-	return busy && p.othersWrite(now, last.at, limit)
+	return busy && p.othersActive(now, last.at, limit)
 }
 
-// othersWrite reports whether other streams have had events for long enough
-// since an instant to tell that one without has lost its connection. A group
-// that stood and goes on is no sign: its ranks begin again one by one.
-func (p *pool) othersWrite(now, since, limit burdockclock.Millis) bool {
-	return now-max(since, p.progressFrom) > limit && now-p.progressAt < silence/2
+// othersActive reports whether other streams have had events for longer than limit since
+// an instant, so that a stream without any has lost its connection. Events right after the
+// whole group stalled don't count: its ranks resume one by one.
+func (p *pool) othersActive(now, since, limit burdockclock.Millis) bool {
+	return now-max(since, p.eventsSince) > limit && now-p.lastEventAt < silenceTimeout/2
 }
 
-// lost reports whether a stream without an event since an instant has lost its
+// connectionLost reports whether a stream without an event since an instant has lost its
 // connection.
-func (p *pool) lost(now, since burdockclock.Millis) bool {
+func (p *pool) connectionLost(now, since burdockclock.Millis) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.othersWrite(now, since, silence)
+	return p.othersActive(now, since, silenceTimeout)
 }
--- a/internal/serve/burdockdirect/request.go
+++ b/internal/serve/burdockdirect/request.go
@@ -16,29 +16,29 @@
 )
 
 const (
-	// defaultBody bounds a body when the configuration doesn't.
-	defaultBody = 8 << 20
-	// bodyTimeout bounds the reading of a body: a caller that trickles would
-	// hold a connection and memory as long as it likes.
-	bodyTimeout = 10 * time.Second
-	// defaultTimeout holds where neither route nor caller says how long.
+	// defaultMaxBody bounds a request body when the configuration sets no limit.
+	defaultMaxBody = 8 << 20
+	// bodyReadTimeout bounds the reading of a body. A caller that sends slowly would
+	// otherwise hold a connection and memory for as long as it likes.
+	bodyReadTimeout = 10 * time.Second
+	// defaultTimeout applies where neither route nor caller sets a timeout.
 	defaultTimeout = burdockclock.Minute
-	// noConfigRetry is when to come back to an entry that has just started: its
-	// first reading of the store takes tens of milliseconds.
-	noConfigRetry burdockclock.Millis = 300
-	// stopRetry is when to come back to the site when this entry stops: at
-	// once, since other entries serve.
-	stopRetry burdockclock.Millis = 20
-	// answerWeight is how many prompt tokens one token of an answer costs an
-	// engine that reads some ten tokens in the time of writing one.
-	answerWeight = 10
+	// noConfigRetryAfter is the Retry-After of an entry that has just started: its first
+	// read of the store takes tens of milliseconds.
+	noConfigRetryAfter burdockclock.Millis = 300
+	// stopRetryAfter is the Retry-After of an entry that stops: callers return at once,
+	// since other entries serve.
+	stopRetryAfter burdockclock.Millis = 20
+	// outputTokenCost is the cost of one output token in prompt tokens. An engine reads
+	// some ten prompt tokens in the time of writing one.
+	outputTokenCost = 10
 )
 
-// request is one caller's request once it has been read and checked.
+// request is a caller's request that has been read and validated.
 type request struct {
 	CallerHeaders
 	method   string
-	target   string // path and query as the caller wrote them
+	target   string // path and query exactly as the caller sent them
 	host     string
 	header   http.Header
 	body     []byte
@@ -51,7 +51,7 @@
 	cost     burdockid.Tokens
 }
 
-// refusal is an answer of the entry's own.
+// refusal is an answer by the entry itself.
 type refusal struct {
 	status     int
 	reason     string
@@ -65,39 +65,39 @@
 	if e.drainingAt.Load() != 0 {
 		w.Header().Set("Connection", "close")
 	}
-	req, no := e.read(w, r)
+	req, rejection := e.readRequest(w, r)
 	c := &caller{entry: e, w: w, control: http.NewResponseController(w)}
-	if no != nil {
-		c.refuse(req, *no)
+	if rejection != nil {
+		c.refuse(req, *rejection)
 		return
 	}
 	e.meters.requests.Inc()
 	e.serve(r, req, c)
 }
 
-// read checks a request in the order in which it costs the entry least.
-func (e *Entry) read(w http.ResponseWriter, r *http.Request) (*request, *refusal) {
+// readRequest reads and validates a request, the cheapest checks first.
+func (e *Entry) readRequest(w http.ResponseWriter, r *http.Request) (*request, *refusal) {
 	req := &request{
 		CallerHeaders: e.deps.Dialect.ParseRequest(r.Header),
 		method:        r.Method, target: r.RequestURI, host: r.Host, header: r.Header, arrived: e.now(),
 	}
 	cfg := e.deps.Site.Now().Config
 	if cfg == nil {
-		return req, &refusal{http.StatusServiceUnavailable, "no configuration yet", noConfigRetry}
+		return req, &refusal{http.StatusServiceUnavailable, "no configuration yet", noConfigRetryAfter}
 	}
 	route, ok := cfg.Match(hostOnly(r.Host), r.URL.EscapedPath())
 	if !ok {
 		return req, &refusal{status: http.StatusNotFound, reason: "no route"}
 	}
 	req.route = route
-	if no := req.authenticate(cfg); no != nil {
-		return req, no
+	if rejection := req.authenticate(cfg); rejection != nil {
+		return req, rejection
 	}
-	if no := req.readBody(w, r, cfg.Limits.BodyBytes); no != nil {
-		return req, no
+	if rejection := req.readBody(w, r, cfg.Limits.BodyBytes); rejection != nil {
+		return req, rejection
 	}
-	req.service = pick(route.Shares)
-	req.cost = max(req.PromptTokens+answerWeight*req.MaxOutputTokens, 1)
+	req.service = pickService(route.Shares)
+	req.cost = max(req.PromptTokens+outputTokenCost*req.MaxOutputTokens, 1)
 	timeout := defaultTimeout
 	if route.Timeout > 0 {
 		timeout = route.Timeout
@@ -132,10 +132,10 @@
 
 func (req *request) readBody(w http.ResponseWriter, r *http.Request, limit int64) *refusal {
 	if limit <= 0 {
-		limit = defaultBody
+		limit = defaultMaxBody
 	}
 	control := http.NewResponseController(w)
-	_ = control.SetReadDeadline(time.Now().Add(bodyTimeout))
+	_ = control.SetReadDeadline(time.Now().Add(bodyReadTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	_ = control.SetReadDeadline(time.Time{})
 	var tooLarge *http.MaxBytesError
@@ -149,8 +149,9 @@
 	return nil
 }
 
-// pick draws the service of a route that is split, by the weights of its shares.
-func pick(shares []burdocksite.Share) burdockid.Service {
+// pickService selects the service of a split route at random, by the weights of its
+// shares.
+func pickService(shares []burdocksite.Share) burdockid.Service {
 	total := 0.0
 	for _, s := range shares {
 		total += max(s.Weight, 0)
@@ -167,7 +168,7 @@
 	return ""
 }
 
-// logEnd writes the one line of a request that ended otherwise than well.
+// logEnd writes the log line of a failed request or of an offer.
 func (e *Entry) logEnd(req *request, outcome string, fields ...zap.Field) {
 	var service burdockid.Service
 	var route string
--- a/internal/serve/burdockdirect/rules_test.go
+++ b/internal/serve/burdockdirect/rules_test.go
@@ -448,20 +448,20 @@
 // on. No upstream is silent while others write, and none must be left.
 func TestStandingGroupIsNoSilence(t *testing.T) {
 	p := newFixture(t, usualTimeout).entry.pool("s")
-	p.heard["slow"], p.heard["quick"] = heard{at: 1, event: true}, heard{at: 1, event: true}
-	p.progress(1000, "quick")
-	p.progress(1000, "slow")
-	p.progress(5000, "quick") // the group goes on
-	if p.silent(5010, "slow") {
+	p.lastContact["slow"], p.lastContact["quick"] = contact{at: 1, isEvent: true}, contact{at: 1, isEvent: true}
+	p.recordEvent(1000, "quick")
+	p.recordEvent(1000, "slow")
+	p.recordEvent(5000, "quick") // the group goes on
+	if p.isSilent(5010, "slow") {
 		t.Error("silent right after the group went on")
 	}
 	for now := burdockclock.Millis(5000); now < 6500; now += 60 {
-		p.progress(now, "quick")
+		p.recordEvent(now, "quick")
 	}
-	if !p.silent(6500, "slow") {
+	if !p.isSilent(6500, "slow") {
 		t.Error("not silent though the other has had events for a second and a half")
 	}
-	if p.silent(6500, "quick") {
+	if p.isSilent(6500, "quick") {
 		t.Error("silent though it has events")
 	}
 }
@@ -484,16 +484,16 @@
 	}
 	for _, test := range tests {
 		p := newFixture(t, usualTimeout).entry.pool("s")
-		p.setPatience(2400)
+		p.setFirstEventTimeout(2400)
 		for range 200 {
-			p.began(test.usual)
+			p.recordFirstEvent(test.usual)
 		}
 		const sent burdockclock.Millis = 5000
-		p.heard["full"] = heard{at: sent}
+		p.lastContact["full"] = contact{at: sent}
 		for now := sent - 1000; now <= sent+test.waits; now += 50 {
-			p.progress(now, "other")
+			p.recordEvent(now, "other")
 		}
-		if got := p.silent(sent+test.waits, "full"); got != test.want {
+		if got := p.isSilent(sent+test.waits, "full"); got != test.want {
 			t.Errorf("%s: silent: got %t, want %t", test.name, got, test.want)
 		}
 	}
@@ -511,13 +511,13 @@
 		Slots: 12, Stride: 4, StepMillis: 4.5, SequenceMillis: 0.9,
 	}}}
 	f.site.SetConfig(cfg)
-	if got := p.gate.pace; got == nil {
+	if got := p.gate.limit; got == nil {
 		t.Fatal("no bound by the engines' figures")
 	}
 	if got := p.gate.load().Slots; got == plain {
 		t.Errorf("streams that may run: got %d as before", got)
 	}
-	before := p.gate.pace.State(f.entry.now()).MaxPerEngine
+	before := p.gate.limit.State(f.entry.now()).MaxPerEngine
 	cfg.Version++
 	cfg.Routes = slices.Clone(cfg.Routes)
 	for i := range cfg.Routes {
@@ -526,7 +526,7 @@
 		}
 	}
 	f.site.SetConfig(cfg)
-	if got := p.gate.pace.State(f.entry.now()).MaxPerEngine; got >= before {
+	if got := p.gate.limit.State(f.entry.now()).MaxPerEngine; got >= before {
 		t.Errorf("requests for each engine with a shorter pause: got %.1f, want less than %.1f", got, before)
 	}
 }
--- a/internal/serve/burdockdirect/stream.go
+++ b/internal/serve/burdockdirect/stream.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// streamBuffer holds some events at a time.
+	// streamBuffer is the size of the read buffer: it holds several events.
 	streamBuffer = 8 << 10
-	// maxEvent bounds one event.
+	// maxEvent bounds the size of one event.
 	maxEvent = 1 << 20
-	// silenceCheck is how often a stream is looked at for silence.
-	silenceCheck = 250 * time.Millisecond
-	// silence is how long a stream may have no event while others of the same
-	// service have some: many passes, and still within what callers bear.
-	silence = burdockclock.Second
+	// silenceCheckInterval is how often a stream is checked for silence.
+	silenceCheckInterval = 250 * time.Millisecond
+	// silenceTimeout is how long a stream may have no event while others of the same
+	// service have some: many steps, but less than callers tolerate.
+	silenceTimeout = burdockclock.Second
 )
 
 var (
@@ -30,94 +30,94 @@
 	errSilent = errors.New("the connection went silent")
 )
 
-// stream passes the events of an answer on as they come, whole ones only, so
-// that a stream that breaks off within one can go on at another upstream.
+// stream passes the events of an answer on as they arrive. It passes on complete events
+// only, so that a stream that breaks off within one can resume at another upstream.
 type stream struct {
-	attempt *attempt
-	res     *http.Response
-	cancel  context.CancelCauseFunc
-	rest    []byte       // of an event that is not whole yet
-	lastAt  atomic.Int64 // boot time of the last event, or of the start
-	passed  atomic.Bool  // an event was passed on
-	done    chan struct{}
+	attempt        *attempt
+	res            *http.Response
+	cancel         context.CancelCauseFunc
+	partial        []byte       // of an event that is not complete yet
+	lastEventAt    atomic.Int64 // boot time of the last event, or of the start
+	eventForwarded atomic.Bool  // whether any event was passed on
+	done           chan struct{}
 }
 
-// follow passes events on until the stream ends.
-func (s *stream) follow(ctx context.Context) result {
-	s.lastAt.Store(int64(s.attempt.offers.entry.now()))
+// forward passes events on until the stream ends.
+func (s *stream) forward(ctx context.Context) result {
+	s.lastEventAt.Store(int64(s.attempt.offers.entry.now()))
 	s.done = make(chan struct{})
 	defer close(s.done)
-	go s.run()
+	go s.watchSilence()
 	buf := make([]byte, streamBuffer)
 	for {
 		n, err := s.res.Body.Read(buf)
-		if n > 0 && !s.take(buf[:n]) {
+		if n > 0 && !s.forwardEvents(buf[:n]) {
 			return ended{}
 		}
 		if err == io.EOF {
-			return s.end()
+			return s.finish()
 		}
 		if err != nil {
-			return s.breakOff(ctx, err)
+			return s.readFailed(ctx, err)
 		}
 	}
 }
 
-// take passes on the events that are whole now. It reports false when the
-// caller can't be written to.
-func (s *stream) take(b []byte) bool {
-	s.rest = append(s.rest, b...)
-	at := bytes.LastIndex(s.rest, eventEnd)
+// forwardEvents passes on the events that are complete now. It reports false if the caller
+// can't be written to or an event is too large.
+func (s *stream) forwardEvents(b []byte) bool {
+	s.partial = append(s.partial, b...)
+	at := bytes.LastIndex(s.partial, eventEnd)
 	if at < 0 {
-		return len(s.rest) < maxEvent
+		return len(s.partial) < maxEvent
 	}
-	events := s.rest[:at+len(eventEnd)]
-	s.note(events)
+	events := s.partial[:at+len(eventEnd)]
+	s.recordEvents(events)
 	o := s.attempt.offers
-	if !o.caller.begun {
-		o.caller.head(s.res.StatusCode, s.res.Header, -1)
+	if !o.caller.headWritten {
+		o.caller.writeHead(s.res.StatusCode, s.res.Header, -1)
 	}
 	if o.caller.write(events) != nil {
 		return false
 	}
-	s.rest = append(s.rest[:0], s.rest[at+len(eventEnd):]...)
+	s.partial = append(s.partial[:0], s.partial[at+len(eventEnd):]...)
 	return true
 }
 
-// note remembers the last event's id and the pause before it.
-func (s *stream) note(events []byte) {
+// recordEvents records the last event's ID and the gap before the events.
+func (s *stream) recordEvents(events []byte) {
 	o := s.attempt.offers
 	now := o.entry.now()
 	for line := range bytes.SplitSeq(events, []byte("\n")) {
 		if id, ok := bytes.CutPrefix(line, idField); ok {
-			o.lastEvent = string(bytes.TrimSpace(id))
-			o.events++
+			o.lastEventID = string(bytes.TrimSpace(id))
+			o.eventCount++
 		}
 	}
-	if !s.passed.Load() {
-		s.attempt.begun = true
-		o.firstEvent = now - s.attempt.began
-		o.pool.began(o.firstEvent)
-		o.entry.meters.firstEvents.Update(o.firstEvent.Duration().Seconds())
+	if !s.eventForwarded.Load() {
+		s.attempt.gotFirstEvent = true
+		o.firstEventTime = now - s.attempt.startedAt
+		o.pool.recordFirstEvent(o.firstEventTime)
+		o.entry.meters.firstEvents.Update(o.firstEventTime.Duration().Seconds())
 	} else {
-		pause := now - burdockclock.Millis(s.lastAt.Load())
-		o.longestPause = max(o.longestPause, pause)
-		o.pool.gate.pause(pause)
+		gap := now - burdockclock.Millis(s.lastEventAt.Load())
+		o.maxEventGap = max(o.maxEventGap, gap)
+		o.pool.gate.observeEventGap(gap)
 	}
-	s.passed.Store(true)
-	s.lastAt.Store(int64(now))
-	o.pool.progress(now, s.attempt.target.ID)
+	s.eventForwarded.Store(true)
+	s.lastEventAt.Store(int64(now))
+	o.pool.recordEvent(now, s.attempt.target.ID)
 }
 
-// run gives up a stream that has gone silent.
+// watchSilence cancels a stream that has gone silent.
 //
-// Failure: something between the two ends has lost track of the connection,
-// which stays open. Symptom: no event, no error, and the caller leaves. Engines
-// in lock-step write for all streams at a time, so when others of the service
-// have had events for a while and this one has not, it is the connection. The
-// stream goes on at another upstream where it may.
-func (s *stream) run() {
-	ticker := time.NewTicker(silenceCheck)
+// Something between the two ends may have lost track of a connection that stays open:
+// there is no event and no error, and the caller gives up. Engines in lock-step emit
+// events for all streams at the same time, so if other streams of the service have had
+// events for a while and this one has not, its connection is at fault. The stream resumes
+// at another upstream if it may.
+func (s *stream) watchSilence() {
+	ticker := time.NewTicker(silenceCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -125,49 +125,51 @@
 			return
 		case <-ticker.C:
 		}
-		last := burdockclock.Millis(s.lastAt.Load())
+		last := burdockclock.Millis(s.lastEventAt.Load())
 		o := s.attempt.offers
-		if s.passed.Load() && o.pool.lost(o.entry.now(), last) {
+		if s.eventForwarded.Load() && o.pool.connectionLost(o.entry.now(), last) {
 			s.cancel(errSilent)
 			return
 		}
 	}
 }
 
-func (s *stream) end() result {
-	if len(s.rest) > 0 || !s.attempt.offers.caller.begun {
-		return s.cut("it ended within an event", true)
+func (s *stream) finish() result {
+	if len(s.partial) > 0 || !s.attempt.offers.caller.headWritten {
+		return s.brokenResult("it ended within an event", true)
 	}
 	return answered{}
 }
 
-func (s *stream) breakOff(ctx context.Context, err error) result {
-	if endedHere(ctx) {
-		return s.cut(context.Cause(ctx).Error(), false)
+func (s *stream) readFailed(ctx context.Context, err error) result {
+	if cancelledLocally(ctx) {
+		return s.brokenResult(context.Cause(ctx).Error(), false)
 	}
 	if ctx.Err() != nil {
 		return ended{}
 	}
-	return s.cut(err.Error(), s.recent())
+	return s.brokenResult(err.Error(), s.hadRecentEvent())
 }
 
-// recent reports whether the stream had an event of late. When a rank of a group
-// dies, the streams at the others break off too, but only after a long silence.
-func (s *stream) recent() bool {
-	return s.attempt.offers.entry.now()-burdockclock.Millis(s.lastAt.Load()) < silence
+// hadRecentEvent reports whether the stream had an event within silenceTimeout. When a
+// rank of a group dies, the streams at the others break off too, but only after a long
+// silence.
+func (s *stream) hadRecentEvent() bool {
+	return s.attempt.offers.entry.now()-burdockclock.Millis(s.lastEventAt.Load()) < silenceTimeout
 }
 
-// endedHere reports whether an offer was given up here, so that the stream can go
-// on at another upstream.
-func endedHere(ctx context.Context) bool {
+// cancelledLocally reports whether this entry cancelled an offer so that the stream can
+// resume at another upstream.
+func cancelledLocally(ctx context.Context) bool {
 	cause := context.Cause(ctx)
-	return errors.Is(cause, errSilent) || errors.Is(cause, errSlow)
+	return errors.Is(cause, errSilent) || errors.Is(cause, errEngineSlow)
 }
 
-// cut returns the result of a stream that broke off, by the upstream's doing or not.
-func (s *stream) cut(reason string, byUpstream bool) result {
-	if s.attempt.offers.caller.begun {
-		return broken{reason: reason, cut: byUpstream}
+// brokenResult returns the result of a stream that broke off. If byUpstream, the
+// upstream's connection broke.
+func (s *stream) brokenResult(reason string, byUpstream bool) result {
+	if s.attempt.offers.caller.headWritten {
+		return broken{reason: reason, connectionBroke: byUpstream}
 	}
-	return unknown{reason: reason, cut: byUpstream}
+	return unknown{reason: reason, connectionBroke: byUpstream}
 }
--- a/internal/serve/burdockdirect/doubt_test.go
+++ b/internal/serve/burdockdirect/suspected_test.go
@@ -54,7 +54,7 @@
 		await(t, "doubt at all entries", func() bool {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			return len(p.doubts.Suspected(f.entry.now(), len(p.members))) > 0
+			return len(p.suspected.Suspected(f.entry.now(), len(p.members))) > 0
 		})
 	}
 }
--- a/internal/serve/burdockdirect/waiting.go
+++ b/internal/serve/burdockdirect/waiting.go
@@ -9,51 +9,51 @@
 	"burdockbend.example/burdockbend/internal/decide/burdockqueue"
 )
 
-// waiter is a request that waits to be started.
+// waiter is a request in the queue.
 type waiter struct {
-	work burdockqueue.Request
-	told chan burdockqueue.Event
-	// lateAt is the instant from which it can't be in time any more.
+	request  burdockqueue.Request
+	decision chan burdockqueue.Event
+	// lateAt is the time from which the request can no longer meet its latency objective.
 	lateAt burdockclock.Millis
 }
 
-// enter waits until the request may start. It returns a refusal, or nil; the
-// error is the context's when the caller went away.
-func (g *gate) enter(ctx context.Context, req *request, id burdockid.Request) (*burdockqueue.Refuse, error) {
-	work := burdockqueue.Request{
-		ID: id, Customer: req.customer, Class: ranksOfClass * min(req.class, classes-1), Cost: req.cost,
+// admit waits until the request may start. It returns a refusal, or nil. The error is that
+// of the context if it ended first.
+func (g *gate) admit(ctx context.Context, req *request, id burdockid.Request) (*burdockqueue.Refuse, error) {
+	queued := burdockqueue.Request{
+		ID: id, Customer: req.customer, Class: queueClassesPerPriority * min(req.class, numPriorities-1), Cost: req.cost,
 		Arrived: req.arrived, Deadline: req.deadline,
 	}
 	g.mu.Lock()
-	g.fit(true)
-	switch d := g.queue.Offer(g.clock.Boot(), work).(type) {
+	g.updateLimit(true)
+	switch d := g.queue.Offer(g.clock.Boot(), queued).(type) {
 	case burdockqueue.Start:
-		g.advance()
+		g.dispatch()
 		g.mu.Unlock()
 		return nil, nil
 	case burdockqueue.Refuse:
-		g.advance()
+		g.dispatch()
 		g.mu.Unlock()
 		return &d, nil
 	}
-	wait := &waiter{work: work, told: make(chan burdockqueue.Event, 1), lateAt: req.arrived + req.route.Objective - g.firstEvent}
+	wait := &waiter{request: queued, decision: make(chan burdockqueue.Event, 1), lateAt: req.arrived + req.route.Objective - g.typicalFirstEvent}
 	g.waiting[id] = wait
-	g.advance()
+	g.dispatch()
 	g.mu.Unlock()
 	return g.wait(ctx, wait)
 }
 
-// wait waits for the queue's word.
+// wait waits for the queue's decision.
 //
-// Load: more streams than can be started, for seconds. Harm prevented: served
-// in the order of their coming, all of them would be late. One that can't be in
-// time any more gives way to those that can; it still goes before nothing.
+// If more streams come for some seconds than can be started, serving them in order of
+// arrival makes all of them late. A request that can no longer meet its objective
+// therefore gives way to those that can. It still starts when no other waits.
 func (g *gate) wait(ctx context.Context, w *waiter) (*burdockqueue.Refuse, error) {
 	late := time.NewTimer(max(w.lateAt-g.clock.Boot(), 1).Duration())
 	defer late.Stop()
 	for {
 		select {
-		case event := <-w.told:
+		case event := <-w.decision:
 			if dropped, ok := event.(burdockqueue.Dropped); ok {
 				return &burdockqueue.Refuse{Reason: dropped.Reason, RetryAfter: dropped.RetryAfter}, nil
 			}
@@ -63,31 +63,31 @@
 				return refuse, nil
 			}
 		case <-ctx.Done():
-			g.cancel(w.work.ID)
+			g.cancel(w.request.ID)
 			return nil, ctx.Err()
 		}
 	}
 }
 
-// demote lets work that will be late wait behind work of its class that won't.
+// demote moves a request that will be late behind those of its priority that won't be.
 func (g *gate) demote(w *waiter) *burdockqueue.Refuse {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if _, waits := g.waiting[w.work.ID]; !waits {
-		return nil // told already
+	if _, waits := g.waiting[w.request.ID]; !waits {
+		return nil // decided already
 	}
 	now := g.clock.Boot()
-	g.queue.Cancel(now, w.work.ID)
-	w.work.Class++
-	switch d := g.queue.Offer(now, w.work).(type) {
+	g.queue.Cancel(now, w.request.ID)
+	w.request.Class++
+	switch d := g.queue.Offer(now, w.request).(type) {
 	case burdockqueue.Start:
-		delete(g.waiting, w.work.ID)
-		w.told <- burdockqueue.Started{ID: w.work.ID}
+		delete(g.waiting, w.request.ID)
+		w.decision <- burdockqueue.Started{ID: w.request.ID}
 	case burdockqueue.Refuse:
-		delete(g.waiting, w.work.ID)
-		g.advance()
+		delete(g.waiting, w.request.ID)
+		g.dispatch()
 		return &d
 	}
-	g.advance()
+	g.dispatch()
 	return nil
 }
--- a/internal/serve/burdockdirect/weights.go
+++ b/internal/serve/burdockdirect/weights.go
@@ -7,42 +7,42 @@
 	"go.uber.org/zap"
 )
 
-// leastRequests stands for the requests at each engine while none run.
-const leastRequests = 1
+// minRequests is the assumed number of requests at each engine while none run.
+const minRequests = 1
 
-// setSpeeds takes up which engines are slow, by address.
+// setSpeeds replaces the speeds of the engines that are slow, by address.
 func (p *pool) setSpeeds(speeds map[string]burdockspeed.Speed) {
-	requests := p.gate.requests()
+	requests := p.gate.requestsPerEngine()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.speeds = speeds
-	p.weighSpeeds(requests)
+	p.updateSpeedWeights(requests)
 }
 
-// weighSpeeds sets what each engine should get by its speed against the others',
-// if requests run at each. The lock must be held.
-func (p *pool) weighSpeeds(requests float64) {
-	before := p.bySpeed
-	p.bySpeed = speedWeights(engineOf(p.entry.deps.Site.Now(), p.service), p.members, p.speeds, requests)
+// updateSpeedWeights sets each engine's weight by its speed relative to the others, given
+// the mean number of requests at each. The lock must be held.
+func (p *pool) updateSpeedWeights(requests float64) {
+	before := p.weightBySpeed
+	p.weightBySpeed = speedWeights(engineOf(p.entry.deps.Site.Now(), p.service), p.members, p.speeds, requests)
 	for u := range p.members {
-		if was, is := weightOf(before, u), weightOf(p.bySpeed, u); was != is {
-			p.weigh(u)
-			if is < was {
-				p.moves.leave(u)
+		if oldWeight, newWeight := weightOf(before, u), weightOf(p.weightBySpeed, u); oldWeight != newWeight {
+			p.updateWeight(u)
+			if newWeight < oldWeight {
+				p.migrations.migrate(u)
 			}
 			p.entry.deps.Log.Info("upstream weighted", zap.String("upstream", string(u)), zap.String("service", string(p.service)),
-				zap.String("cause", "speed"), zap.Float64("weight", is))
+				zap.String("cause", "speed"), zap.Float64("weight", newWeight))
 		}
 	}
 }
 
-// weigh hands the placer an upstream's weight. The lock must be held.
-func (p *pool) weigh(u burdockid.Upstream) { p.placer.SetWeight(u, p.weightNow(u)) }
+// updateWeight passes an upstream's weight to the placer. The lock must be held.
+func (p *pool) updateWeight(u burdockid.Upstream) { p.placer.SetWeight(u, p.effectiveWeight(u)) }
 
-// weightNow returns an upstream's part of the usual work, by its health and its
+// effectiveWeight returns an upstream's share of its normal load, by its health and its
 // speed.
-func (p *pool) weightNow(u burdockid.Upstream) float64 {
-	return p.tracker.Weight(u) * weightOf(p.bySpeed, u)
+func (p *pool) effectiveWeight(u burdockid.Upstream) float64 {
+	return p.tracker.Weight(u) * weightOf(p.weightBySpeed, u)
 }
 
 // weightOf returns an upstream's weight; 1 for one that is not slow.
@@ -53,7 +53,7 @@
 	return 1
 }
 
-// speedWeights returns the weights of the slow ones among a service's engines.
+// speedWeights returns the weights of those engines of a service that are slow.
 func speedWeights(engine *burdocksite.Engine, members map[burdockid.Upstream]burdocksite.Upstream, speeds map[string]burdockspeed.Speed, requests float64) map[burdockid.Upstream]float64 {
 	if engine == nil || len(speeds) == 0 {
 		return nil
@@ -68,14 +68,14 @@
 		names = append(names, name)
 		known = append(known, speed)
 	}
-	work := burdockspeed.StepCost{
-		BaseStepMillis: engine.StepMillis, StepMillisPerRequest: sequenceMillis(engine), ExpertShare: engine.ExpertShare,
-		TypicalRequests: max(requests, leastRequests),
+	cost := burdockspeed.StepCost{
+		BaseStepMillis: engine.StepMillis, StepMillisPerRequest: stepMillisPerRequest(engine), ExpertShare: engine.ExpertShare,
+		TypicalRequests: max(requests, minRequests),
 	}
 	weights := map[burdockid.Upstream]float64{}
 	for i, speed := range burdockspeed.RelativeToMedian(known) {
 		if burdockspeed.IsSlow(speed) {
-			weights[names[i]] = work.Weight(speed)
+			weights[names[i]] = cost.Weight(speed)
 		}
 	}
 	return weights
