--- a/internal/serve/burdockdirect/crashes_test.go
+++ b/internal/serve/burdockdirect/crashes_test.go
@@ -12,26 +12,26 @@
 	"burdockbend.example/burdockbend/internal/decide/burdocksuspect"
 )
 
-// crashBoard hands what one entry tells to all of them.
-type crashBoard struct {
-	mu      sync.Mutex
-	entries []*Entry
-	told    []burdocksuspect.Crash
+// crashBus passes the crashes that one entry publishes to all entries.
+type crashBus struct {
+	mu        sync.Mutex
+	entries   []*Entry
+	published []burdocksuspect.Crash
 }
 
-func (b *crashBoard) tell(all []burdocksuspect.Crash) {
+func (b *crashBus) publish(all []burdocksuspect.Crash) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.told = append(b.told, all...)
+	b.published = append(b.published, all...)
 	for _, e := range b.entries {
 		go e.AddCrashes(all)
 	}
 }
 
-// crashFleet is some entries before the same upstreams, of which each that begins
-// to run a request to a path ending in "crash" is gone.
+// crashFleet is a number of entries in front of the same upstreams. An upstream that
+// receives a request for a path ending in "crash" dies.
 type crashFleet struct {
-	board    *crashBoard
+	bus      *crashBus
 	fixtures []*fixture
 	mu       sync.Mutex
 	crashes  int // of upstreams
@@ -39,12 +39,12 @@
 
 func newCrashFleet(t *testing.T, entries, upstreams int) *crashFleet {
 	t.Helper()
-	f := &crashFleet{board: &crashBoard{}}
+	f := &crashFleet{bus: &crashBus{}}
 	for range entries {
-		fixture := newFixture(t, usualTimeout)
-		fixture.entry.crashes.publish = f.board.tell
+		fixture := newFixture(t, testTimeout)
+		fixture.entry.crashes.publish = f.bus.publish
 		f.fixtures = append(f.fixtures, fixture)
-		f.board.entries = append(f.board.entries, fixture.entry)
+		f.bus.entries = append(f.bus.entries, fixture.entry)
 	}
 	for range upstreams {
 		f.startUpstream(t)
@@ -55,8 +55,8 @@
 func (f *crashFleet) startUpstream(t *testing.T) {
 	t.Helper()
 	var u *upstream
-	gone := func() {
-		// The listener first: who connects anew is refused, as by a dead process.
+	kill := func() {
+		// The listener first, so that new connections are refused as by a dead process.
 		_ = u.server.Listener.Close()
 		u.server.CloseClientConnections()
 	}
@@ -68,7 +68,7 @@
 		f.mu.Lock()
 		f.crashes++
 		f.mu.Unlock()
-		gone()
+		kill()
 		panic(http.ErrAbortHandler)
 	})
 	for _, fixture := range f.fixtures {
@@ -82,19 +82,19 @@
 	return f.crashes
 }
 
-// Guards against a request that crashes one upstream after the other as it returns
-// at ever another entry.
-func TestCrashingRequestIsKeptFromUpstreamsByAllEntries(t *testing.T) {
+// Guards against a request that crashes one upstream after the other because its caller
+// retries it at a different entry each time.
+func TestCrashingRequestIsQuarantinedByAllEntries(t *testing.T) {
 	f := newCrashFleet(t, 12, 16)
 	for i := range 36 {
 		got := f.fixtures[i%12].send(t, context.Background(), "/again/crash", nil)
 		if got.status == http.StatusOK {
-			t.Fatalf("return %d: got status 200, want a failure", i)
+			t.Fatalf("retry %d: got status 200, want a failure", i)
 		}
-		time.Sleep(30 * time.Millisecond) // its caller doesn't come back at once
+		time.Sleep(30 * time.Millisecond) // its caller doesn't retry at once
 	}
-	if got, most := f.crashed(), 3; got > most {
-		t.Errorf("upstreams crashed: got %d, want %d at most", got, most)
+	if got, limit := f.crashed(), 3; got > limit {
+		t.Errorf("upstreams crashed: got %d, want at most %d", got, limit)
 	}
 	got := f.fixtures[5].send(t, context.Background(), "/again/crash", nil)
 	if got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
@@ -102,31 +102,31 @@
 	}
 	for i, fixture := range f.fixtures {
 		if got := fixture.send(t, context.Background(), "/again/sound", nil); got.status != http.StatusOK {
-			t.Errorf("a sound request at entry %d: got status %d, want 200", i, got.status)
+			t.Errorf("a harmless request at entry %d: got status %d, want 200", i, got.status)
 		}
 	}
 	if got, want := len(f.fixtures[0].entry.CrashingRequests()), 1; got != want {
-		t.Errorf("suspects shown: got %d, want %d", got, want)
+		t.Errorf("crashing requests listed: got %d, want %d", got, want)
 	}
 }
 
-// Guards against quarantine of sound requests where connections break though the
-// upstreams live.
-func TestCrashingRequestsAreNotThoseOfBrokenConnections(t *testing.T) {
+// Guards against quarantining harmless requests whose connections break while the
+// upstreams stay alive.
+func TestBrokenConnectionAloneIsNoCrash(t *testing.T) {
 	a, b := newUpstream(t, cutConnection), newUpstream(t, cutConnection)
-	f := newFixture(t, usualTimeout, a, b)
+	f := newFixture(t, testTimeout, a, b)
 	for range 5 {
 		f.send(t, context.Background(), "/again/", nil)
 	}
 	time.Sleep(upstreamDialTimeout)
 	if got := f.entry.CrashingRequests(); len(got) != 0 {
-		t.Errorf("suspects: got %v, want none", got)
+		t.Errorf("crashing requests: got %v, want none", got)
 	}
 }
 
-// Guards against sound requests that are kept from upstreams after a power cut, in
-// which a good part of the upstreams is gone at a time.
-func TestCrashingRequestsAreNotThoseOfAPowerCut(t *testing.T) {
+// Guards against quarantining harmless requests after a power cut, in which a large part
+// of the upstreams goes down at the same time.
+func TestPowerCutQuarantinesNoRequest(t *testing.T) {
 	f := newCrashFleet(t, 1, 12)
 	var wg sync.WaitGroup
 	for i := range 8 {
--- a/internal/serve/burdockdirect/ejected_test.go
+++ b/internal/serve/burdockdirect/ejected_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Guards against refusing every request while the only upstream left is one that
-// failed some time ago and is well again.
+// Guards against refusing every request when the only remaining upstream is an ejected one
+// that has recovered.
 func TestEjectedUpstreamIsUsedWhenNoOtherIsLeft(t *testing.T) {
 	var failing atomic.Bool
 	u := newUpstream(t, func(w http.ResponseWriter, r *http.Request) {
@@ -18,9 +18,9 @@
 		answerOK(w, r)
 	})
 	other := newUpstream(t, answerOK)
-	f := newFixture(t, usualTimeout, u, other)
+	f := newFixture(t, testTimeout, u, other)
 	failing.Store(true)
-	for range 40 { // which may be repeated, so that doubt alone doesn't keep them away
+	for range 40 { // repeatable, so that suspicion alone doesn't keep them away
 		f.send(t, context.Background(), "/again/", nil)
 	}
 	before := u.seen()
--- a/internal/serve/burdockdirect/fixture_test.go
+++ b/internal/serve/burdockdirect/fixture_test.go
@@ -19,10 +19,10 @@
 	"go.uber.org/zap"
 )
 
-// plainDialect is a dialect with names of its own.
-type plainDialect struct{}
+// testDialect is a dialect with its own header names.
+type testDialect struct{}
 
-func (plainDialect) ParseRequest(h http.Header) CallerHeaders {
+func (testDialect) ParseRequest(h http.Header) CallerHeaders {
 	budget, _ := strconv.ParseInt(h.Get("X-Budget"), 10, 64)
 	return CallerHeaders{
 		ID: burdockid.Request(h.Get("X-Id")), APIKey: h.Get("X-Key"),
@@ -30,7 +30,7 @@
 	}
 }
 
-func (plainDialect) Prepare(h http.Header, out UpstreamHeaders) {
+func (testDialect) Prepare(h http.Header, out UpstreamHeaders) {
 	h.Del("X-Key")
 	h.Set("X-Customer", string(out.Customer))
 	h.Set("X-Upstream", string(out.ExpectedUpstream))
@@ -40,13 +40,13 @@
 	}
 }
 
-func (plainDialect) ParseResponse(_ int, h http.Header) ResponseHeaders {
+func (testDialect) ParseResponse(_ int, h http.Header) ResponseHeaders {
 	return ResponseHeaders{
 		RequestID: burdockid.Request(h.Get("X-Id")), NotRun: h.Get("X-Not-Run") != "", FromUpstream: h.Get("X-Signed") != "",
 	}
 }
 
-// upstream is one stand-in of an upstream; serve answers a request that it ran.
+// upstream is a fake upstream. It records the requests that it received.
 type upstream struct {
 	server *httptest.Server
 	mu     sync.Mutex
@@ -75,7 +75,7 @@
 	return u
 }
 
-// sign echoes a request's id, as an upstream does with what is its own.
+// sign echoes a request's ID and marks the response as the upstream's own.
 func sign(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("X-Id", r.Header.Get("X-Id"))
 	w.Header().Set("X-Signed", "1")
@@ -92,17 +92,16 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// cutConnection resets the connection in place of an answer.
+// cutConnection resets the connection instead of answering.
 func cutConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-// fixture is an entry before some upstreams, with three routes: /once/ runs a
-// request once at most, /again/ is idempotent, /stream/ has streams that may be
-// resumed.
+// fixture is an entry in front of some upstreams, with three routes: /once/ runs a request
+// at most once, /again/ is idempotent, /stream/ has streams that may be resumed.
 type fixture struct {
 	entry *Entry
 	site  *burdocksite.Site
 	web   *httptest.Server
-	// upstreams counts those that were put.
+	// upstreams counts the upstreams added so far.
 	upstreams int
 }
 
@@ -125,12 +124,12 @@
 	})
 }
 
-// startFixture starts an entry that knows nothing yet.
+// startFixture starts an entry without configuration.
 func startFixture(t *testing.T) *fixture {
 	t.Helper()
 	f := &fixture{site: burdocksite.New()}
 	f.entry = New(Config{DataCentre: "a", GraceMillis: 8000}, Deps{
-		Clock: burdockclock.System(), Site: f.site, Dialect: plainDialect{}, Log: zap.NewNop(), Metrics: metrics.NewSet(), Seed: 1,
+		Clock: burdockclock.System(), Site: f.site, Dialect: testDialect{}, Log: zap.NewNop(), Metrics: metrics.NewSet(), Seed: 1,
 	})
 	f.site.Subscribe(f.entry.ApplySnapshot)
 	f.web = httptest.NewServer(f.entry)
@@ -152,7 +151,7 @@
 	})
 }
 
-// reply is what a caller got.
+// reply is a caller's response.
 type reply struct {
 	status int
 	header http.Header
@@ -185,7 +184,7 @@
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("did not come about: %s", what)
+			t.Fatalf("condition not met: %s", what)
 		}
 	}
 }
--- a/internal/serve/burdockdirect/group_test.go
+++ b/internal/serve/burdockdirect/group_test.go
@@ -15,14 +15,14 @@
 	"burdockbend.example/burdockbend/internal/state/burdocksite"
 )
 
-// lockStep makes a fixture's upstreams engines in lock-step, whose callers wait for a
-// first event as long as patience.
-func (f *fixture) lockStep(patience burdockclock.Millis) {
+// lockStep configures a fixture's upstreams as lock-step engines, whose callers wait for a
+// first event for the given time.
+func (f *fixture) lockStep(firstEventTimeout burdockclock.Millis) {
 	cfg := *f.site.Now().Config
 	cfg.Version++
 	for i := range cfg.Routes {
 		if cfg.Routes[i].Stream {
-			cfg.Routes[i].Patience = patience
+			cfg.Routes[i].Patience = firstEventTimeout
 		}
 	}
 	cfg.Services = map[burdockid.Service]burdocksite.Service{"s": {Name: "s", Engine: &burdocksite.Engine{
@@ -31,11 +31,11 @@
 	f.site.SetConfig(cfg)
 }
 
-// lockStepGroup is engines that refuse everything until their group opens, and hold
-// all their streams while it stands.
+// lockStepGroup simulates engines that refuse everything until their group opens, and send
+// no events while it is stalled.
 type lockStepGroup struct {
-	open, stands atomic.Bool
-	started      atomic.Int64 // streams
+	open, stalled atomic.Bool
+	started       atomic.Int64 // streams
 }
 
 func (g *lockStepGroup) serve(w http.ResponseWriter, r *http.Request) {
@@ -47,7 +47,7 @@
 	sign(w, r)
 	w.Header().Set("Content-Type", "text/event-stream")
 	for i := 1; i <= 3; i++ {
-		for g.stands.Load() {
+		for g.stalled.Load() {
 			select {
 			case <-r.Context().Done():
 				return
@@ -59,10 +59,11 @@
 	}
 }
 
-// Guards against refusing callers in the second in which a group forms anew: who lost
-// a first try to what broke it up has no other left. They are no more than the retries
-// that an entry has at once, as each may find out once that the group is closed.
-func TestCallersWaitForAGroupThatForms(t *testing.T) {
+// Guards against refusing callers during the second in which a group forms again. Those
+// whose first attempt was cut off by the failure have no retry left. There are no more
+// callers than the retries that an entry always has, since each may find out once that the
+// group is closed.
+func TestCallersWaitWhileGroupForms(t *testing.T) {
 	const callers = minRetries - 2
 	g := &lockStepGroup{}
 	f := newFixture(t, 30_000, newUpstream(t, g.serve), newUpstream(t, g.serve), newUpstream(t, g.serve))
@@ -82,8 +83,8 @@
 	}
 }
 
-// sendMany sends streams from as many callers, 10 ms apart, does something meanwhile,
-// and returns what they got.
+// sendMany sends streams from several callers, 10 ms apart, calls meanwhile, and returns
+// the responses.
 func (f *fixture) sendMany(t *testing.T, callers int, meanwhile func()) []reply {
 	t.Helper()
 	replies := make([]reply, callers)
@@ -99,9 +100,9 @@
 	return replies
 }
 
-// Guards against holding callers for a group that doesn't open until their time is over:
-// they are told to come back.
-func TestCallersOfAGroupThatStaysClosedAreTold(t *testing.T) {
+// Guards against holding callers until their time is over if the group doesn't open. They
+// are refused with a Retry-After.
+func TestCallersAreRefusedIfGroupStaysClosed(t *testing.T) {
 	g := &lockStepGroup{}
 	f := newFixture(t, 30_000, newUpstream(t, g.serve), newUpstream(t, g.serve))
 	f.lockStep(2 * burdockclock.Second)
@@ -112,9 +113,9 @@
 	}
 }
 
-// Guards against filling engines that stand: the group that moves again would have
-// every stream late.
-func TestNothingIsStartedWhileAGroupStands(t *testing.T) {
+// Guards against filling stalled engines. When the group resumes, every stream would be
+// late.
+func TestNoStreamStartsWhileGroupIsStalled(t *testing.T) {
 	g := &lockStepGroup{}
 	g.open.Store(true)
 	f := newFixture(t, 30_000, newUpstream(t, g.serve), newUpstream(t, g.serve))
@@ -127,18 +128,18 @@
 	}
 	f.sendMany(t, 12, func() {
 		time.Sleep(30 * time.Millisecond)
-		g.stands.Store(true)
-		await(t, "the group is seen to stand", func() bool { return state() == burdocklockstep.Stalled })
+		g.stalled.Store(true)
+		await(t, "the group is found stalled", func() bool { return state() == burdocklockstep.Stalled })
 		before := g.started.Load()
 		replies := make(chan reply)
 		go func() { replies <- f.send(t, context.Background(), "/stream/", nil) }()
 		await(t, "the caller waits", func() bool { return gate.load().Queued == 1 })
 		if got := g.started.Load(); got != before {
-			t.Errorf("started while the group stands: got %d, want none", got-before)
+			t.Errorf("streams started while the group is stalled: got %d, want none", got-before)
 		}
-		g.stands.Store(false)
+		g.stalled.Store(false)
 		if got := <-replies; got.status != http.StatusOK {
-			t.Errorf("the caller who waited: got status %d, want 200", got.status)
+			t.Errorf("the waiting caller: got status %d, want 200", got.status)
 		}
 	})
 }
--- a/internal/serve/burdockdirect/metrics_test.go
+++ b/internal/serve/burdockdirect/metrics_test.go
@@ -17,7 +17,7 @@
 	exportedName  = regexp.MustCompile(`(?m)^(burdock_direct_[a-z_]+)`)
 )
 
-// The page on metrics names what an entry exports, and nothing else.
+// The page on metrics must list exactly the metrics that an entry exports.
 func TestMetricsPageDescribesWhatAnEntryExports(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/METRICS_HOSTED.md")
 	if err != nil {
@@ -29,7 +29,7 @@
 		w.Header().Set("Content-Type", "text/event-stream")
 		writeEvents(w, 1, 3)
 	})
-	f := newFixture(t, usualTimeout, u)
+	f := newFixture(t, testTimeout, u)
 	f.send(t, context.Background(), "/once/", nil)
 	f.send(t, context.Background(), "/elsewhere/", nil)
 	f.site.DropUpstream("u0")
@@ -51,8 +51,7 @@
 	}
 }
 
-// family returns the name of a histogram without the ending of one of its
-// series.
+// family returns the name of a metric without the suffix of a histogram's series.
 func family(name string) string {
 	for _, ending := range []string{"_bucket", "_sum", "_count"} {
 		if base, ok := strings.CutSuffix(name, ending); ok && strings.HasSuffix(base, "_seconds") {
--- a/internal/serve/burdockdirect/rules_test.go
+++ b/internal/serve/burdockdirect/rules_test.go
@@ -17,7 +17,7 @@
 	"burdockbend.example/burdockbend/internal/state/burdocksite"
 )
 
-const usualTimeout = 5000
+const testTimeout = 5000
 
 func TestAnswerIsPassedOnUnchanged(t *testing.T) {
 	u := newUpstream(t, func(w http.ResponseWriter, r *http.Request) {
@@ -26,7 +26,7 @@
 		w.WriteHeader(http.StatusTeapot)
 		_, _ = io.WriteString(w, "a body")
 	})
-	f := newFixture(t, usualTimeout, u)
+	f := newFixture(t, testTimeout, u)
 	got := f.send(t, context.Background(), "/once/a%2Fb?q=%20x", nil)
 	if got.status != http.StatusTeapot || got.body != "a body" || got.header.Get("X-Other") != "kept" {
 		t.Errorf("got status %d body %q header %q, want 418, %q and %q", got.status, got.body, got.header.Get("X-Other"), "a body", "kept")
@@ -40,11 +40,11 @@
 	}
 }
 
-// A caller names another customer than its key's, and the key would reach the
-// upstream. The entry puts the key's own customer there and keeps the key.
+// A caller claims a customer other than that of its key. The upstream gets the customer of
+// the key, and never the key itself.
 func TestKeyDecidesTheCustomer(t *testing.T) {
 	u := newUpstream(t, answerOK)
-	f := newFixture(t, usualTimeout, u)
+	f := newFixture(t, testTimeout, u)
 	f.send(t, context.Background(), "/once/", map[string]string{"X-Customer": "someone else"})
 	run := u.runs[0]
 	if got, want := run.Header.Get("X-Customer"), "acme"; got != want {
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestOwnRefusals(t *testing.T) {
+func TestEntryRefusals(t *testing.T) {
 	u := newUpstream(t, answerOK)
 	for _, c := range []struct {
 		name, path, key string
@@ -64,7 +64,7 @@
 		{"no route", "/elsewhere/", "key", http.StatusNotFound},
 		{"unknown key", "/once/", "wrong", http.StatusUnauthorized},
 	} {
-		f := newFixture(t, usualTimeout, u)
+		f := newFixture(t, testTimeout, u)
 		if got := f.send(t, context.Background(), c.path, map[string]string{"X-Key": c.key}); got.status != c.want {
 			t.Errorf("%s: got status %d, want %d", c.name, got.status, c.want)
 		}
@@ -74,10 +74,9 @@
 	}
 }
 
-// An entry that has just started knows no route. "Not found" would be final for
-// the caller, though every configuration has the route; so it says when to come
-// back.
-func TestWithoutConfigurationTheCallerComesBack(t *testing.T) {
+// An entry that has just started knows no route. "Not found" would be final for the caller
+// although every configuration has the route, so the entry asks the caller to retry later.
+func TestRefusalBeforeConfigurationHasRetryAfter(t *testing.T) {
 	f := startFixture(t)
 	got := f.send(t, context.Background(), "/once/", nil)
 	if got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
@@ -85,9 +84,9 @@
 	}
 }
 
-// An upstream has run a request and its answer is lost. A request that may not
-// run twice must not be sent again, and its caller must not be told that it has
-// not run; one that may is answered by another upstream.
+// An upstream has run a request and its answer is lost. A request that may run only once
+// must not be sent again, and its caller must not be told that it has not run. A
+// repeatable request is offered to another upstream.
 func TestLostAnswer(t *testing.T) {
 	for _, c := range []struct {
 		path       string
@@ -98,7 +97,7 @@
 		{"/again/", http.StatusBadGateway, 2}, // all answers are lost
 	} {
 		a, b := newUpstream(t, cutConnection), newUpstream(t, cutConnection)
-		f := newFixture(t, usualTimeout, a, b)
+		f := newFixture(t, testTimeout, a, b)
 		got := f.send(t, context.Background(), c.path, nil)
 		if got.status != c.wantStatus {
 			t.Errorf("%s: got status %d, want %d", c.path, got.status, c.wantStatus)
@@ -109,9 +108,9 @@
 	}
 }
 
-// One upstream loses its answer and the next refuses the second offer as not
-// run. The refusal is true of that offer alone: the first may have run, so the
-// caller must not be told otherwise.
+// One upstream loses its answer, and the next refuses the request as not run. The refusal
+// covers only the second offer; the first may have run, so the caller must be told that
+// the outcome is unknown.
 func TestUnknownOutcomeStaysUnknown(t *testing.T) {
 	var offers atomic.Int32
 	serve := func(w http.ResponseWriter, r *http.Request) {
@@ -120,20 +119,20 @@
 		}
 		refuseNotRun(w, r)
 	}
-	f := newFixture(t, usualTimeout, newUpstream(t, serve), newUpstream(t, serve))
+	f := newFixture(t, testTimeout, newUpstream(t, serve), newUpstream(t, serve))
 	got := f.send(t, context.Background(), "/again/", nil)
 	if got, want := got.status, http.StatusBadGateway; got != want {
 		t.Errorf("got status %d, want %d", got, want)
 	}
 }
 
-// An upstream refuses a request that it has not run. It goes to another one,
-// also if it may run only once, up to the route's number of upstreams; then the
-// caller is told at once that it has not run, and when to come back.
-func TestRefusedRequestGoesToAnother(t *testing.T) {
+// A request that an upstream refuses without running it goes to another one, even if it
+// may run only once, up to the route's number of attempts. Then the caller is told at once
+// that it has not run, and when to retry.
+func TestRefusedRequestIsRetriedElsewhere(t *testing.T) {
 	full, free := newUpstream(t, refuseNotRun), newUpstream(t, answerOK)
-	for i := range 6 { // which one is asked first is drawn
-		f := newFixture(t, usualTimeout, full, free)
+	for i := range 6 { // the first upstream is chosen at random
+		f := newFixture(t, testTimeout, full, free)
 		if got := f.send(t, context.Background(), "/once/", nil); got.status != http.StatusOK {
 			t.Errorf("entry %d: got status %d, want 200", i, got.status)
 		}
@@ -143,44 +142,44 @@
 	}
 
 	none := []*upstream{newUpstream(t, refuseNotRun), newUpstream(t, refuseNotRun), newUpstream(t, refuseNotRun)}
-	f := newFixture(t, usualTimeout, none...)
+	f := newFixture(t, testTimeout, none...)
 	began := time.Now()
 	got := f.send(t, context.Background(), "/once/", nil)
 	if got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
 		t.Errorf("all full: got status %d Retry-After %q, want 503 and a time", got.status, got.header.Get("Retry-After"))
 	}
-	if took := time.Since(began); took > usualTimeout*time.Millisecond/2 {
+	if took := time.Since(began); took > testTimeout*time.Millisecond/2 {
 		t.Errorf("all full: refused after %v, want at once", took)
 	}
-	if got, most := none[0].seen()+none[1].seen()+none[2].seen(), 2; got > most {
-		t.Errorf("upstreams offered to: got %d, want %d at most", got, most)
+	if got, limit := none[0].seen()+none[1].seen()+none[2].seen(), 2; got > limit {
+		t.Errorf("upstreams offered to: got %d, want at most %d", got, limit)
 	}
 }
 
-// A second answer of an earlier request comes where the answer of the next one
-// is due. The caller must not get it: the id that it carries is another's.
+// A second answer to an earlier request arrives where the answer to the next one is due.
+// The caller must not get it, since its ID belongs to another request.
 func TestAnswerOfAnotherRequest(t *testing.T) {
-	crossed := newUpstream(t, func(w http.ResponseWriter, _ *http.Request) {
+	misrouted := newUpstream(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("X-Id", "of another")
 		w.Header().Set("X-Signed", "1")
 		_, _ = io.WriteString(w, "not yours")
 	})
-	f := newFixture(t, usualTimeout, crossed)
+	f := newFixture(t, testTimeout, misrouted)
 	got := f.send(t, context.Background(), "/once/", nil)
 	if got.status != http.StatusBadGateway || strings.Contains(got.body, "not yours") {
 		t.Errorf("got status %d body %q, want 502 and nothing of the other answer", got.status, got.body)
 	}
 }
 
-// An answer with a length breaks off. Its caller must not take the part for the
-// whole: one that may be asked for again is, the other ends as unknown.
+// An answer with a length breaks off. The caller must not take the part for the whole: a
+// repeatable request is offered again, the other ends with an unknown outcome.
 func TestTruncatedAnswer(t *testing.T) {
 	short := func(w http.ResponseWriter, r *http.Request) {
 		sign(w, r)
 		w.Header().Set("Content-Length", "100")
 		_, _ = io.WriteString(w, "part")
 	}
-	f := newFixture(t, usualTimeout, newUpstream(t, short))
+	f := newFixture(t, testTimeout, newUpstream(t, short))
 	if got := f.send(t, context.Background(), "/once/", nil); got.status != http.StatusBadGateway {
 		t.Errorf("once: got status %d, want 502", got.status)
 	}
@@ -192,27 +191,28 @@
 		}
 		answerOK(w, r)
 	}
-	f = newFixture(t, usualTimeout, newUpstream(t, serve), newUpstream(t, serve))
+	f = newFixture(t, testTimeout, newUpstream(t, serve), newUpstream(t, serve))
 	if got := f.send(t, context.Background(), "/again/", nil); got.status != http.StatusOK || got.body != "whole answer" {
 		t.Errorf("again: got status %d body %q, want 200 and the whole answer", got.status, got.body)
 	}
 }
 
-// An upstream answers 503 without saying that it has not run the request. Passed
-// on, the status would promise the caller just that.
-func TestRefusalWithoutPromise(t *testing.T) {
+// An upstream answers 503 without stating that it has not run the request. Passed on, the
+// status would tell the caller just that.
+func TestStatusClaimingNotRunNeedsHeader(t *testing.T) {
 	u := newUpstream(t, func(w http.ResponseWriter, r *http.Request) {
 		sign(w, r)
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
-	f := newFixture(t, usualTimeout, u)
+	f := newFixture(t, testTimeout, u)
 	if got := f.send(t, context.Background(), "/once/", nil); got.status != http.StatusBadGateway {
 		t.Errorf("got status %d, want 502", got.status)
 	}
 }
 
-// An upstream is told how long the caller still waits, not how long it once did.
-func TestBudgetIsWhatIsLeft(t *testing.T) {
+// An upstream is told how long the caller still waits, not how long it waited at the
+// start.
+func TestTimeBudgetIsRemainingTime(t *testing.T) {
 	var offers atomic.Int32
 	budgets := make(chan int, 2)
 	serve := func(w http.ResponseWriter, r *http.Request) {
@@ -225,7 +225,7 @@
 		}
 		answerOK(w, r)
 	}
-	f := newFixture(t, usualTimeout, newUpstream(t, serve), newUpstream(t, serve))
+	f := newFixture(t, testTimeout, newUpstream(t, serve), newUpstream(t, serve))
 	f.send(t, context.Background(), "/once/", map[string]string{"X-Budget": "2000"})
 	first, second := <-budgets, <-budgets
 	if first > 2000 || first < 1000 {
@@ -236,16 +236,16 @@
 	}
 }
 
-// The caller leaves while an upstream works. The upstream must hear of it soon:
-// its connection is closed.
-func TestCallerLeaves(t *testing.T) {
+// The caller disconnects while an upstream works. The upstream must notice soon, since its
+// connection is closed.
+func TestCallerDisconnectCancelsUpstream(t *testing.T) {
 	began, stopped := make(chan struct{}), make(chan struct{})
 	u := newUpstream(t, func(_ http.ResponseWriter, r *http.Request) {
 		close(began)
 		<-r.Context().Done()
 		close(stopped)
 	})
-	f := newFixture(t, usualTimeout, u)
+	f := newFixture(t, testTimeout, u)
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() { <-began; cancel() }()
 	f.send(t, ctx, "/again/", nil)
@@ -257,8 +257,8 @@
 	await(t, "nothing in flight", f.entry.Idle)
 }
 
-// No answer comes within the route's time. The caller gets its final answer
-// then, and isn't held until its own deadline.
+// No answer arrives within the route's timeout. The caller gets its final answer then, and
+// isn't held until its own deadline.
 func TestRouteTimeout(t *testing.T) {
 	u := newUpstream(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 	f := newFixture(t, 300, u)
@@ -272,7 +272,7 @@
 	}
 }
 
-// writeEvents writes events from one on, and returns after the last.
+// writeEvents writes the events with IDs from through to, and flushes each.
 func writeEvents(w http.ResponseWriter, from, to int) {
 	for i := from; i <= to; i++ {
 		_, _ = fmt.Fprintf(w, "id: %d\ndata: token %d\n\n", i, i)
@@ -288,8 +288,8 @@
 	return b.String()
 }
 
-// An upstream dies within an event. The stream goes on at another one after the
-// last whole event, so that its caller gets each event once and no half of one.
+// An upstream dies within an event. The stream resumes at another one after the last
+// complete event, so that its caller gets each event once and no part of one.
 func TestStreamIsResumedAfterTheLastWholeEvent(t *testing.T) {
 	var offers atomic.Int32
 	serve := func(w http.ResponseWriter, r *http.Request) {
@@ -304,15 +304,15 @@
 		last, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 		writeEvents(w, last+1, 6)
 	}
-	f := newFixture(t, usualTimeout, newUpstream(t, serve), newUpstream(t, serve))
+	f := newFixture(t, testTimeout, newUpstream(t, serve), newUpstream(t, serve))
 	got := f.send(t, context.Background(), "/stream/", nil)
 	if got.status != http.StatusOK || got.err != nil || got.body != eventsOf(1, 6) {
 		t.Errorf("got status %d err %v body %q, want 200 and events 1 to 6", got.status, got.err, got.body)
 	}
 }
 
-// No upstream can go on with a stream that broke off. The caller must not take
-// it for complete: its connection ends without the body's end.
+// No upstream can resume a stream that broke off. The caller must not take it for
+// complete, so its connection ends without the end of the body.
 func TestBrokenStreamDoesNotLookComplete(t *testing.T) {
 	var offers atomic.Int32
 	serve := func(w http.ResponseWriter, r *http.Request) {
@@ -325,16 +325,16 @@
 		writeEvents(w, 1, 2)
 		cutConnection(w, r)
 	}
-	f := newFixture(t, usualTimeout, newUpstream(t, serve), newUpstream(t, serve))
+	f := newFixture(t, testTimeout, newUpstream(t, serve), newUpstream(t, serve))
 	got := f.send(t, context.Background(), "/stream/", nil)
 	if got.err == nil || got.body != eventsOf(1, 2) {
 		t.Errorf("got err %v body %q, want an error after events 1 and 2", got.err, got.body)
 	}
 }
 
-// A stop comes while a stream runs. The stream is finished, and its connection
-// closed after it; while little time is left, requests on connections that are
-// still open are refused, with word that they have not run, and go elsewhere.
+// A planned stop begins while a stream runs. The stream is finished and its connection
+// closed afterwards. When little time is left, requests on open connections are refused as
+// not run, and go elsewhere.
 func TestPlannedStop(t *testing.T) {
 	release := make(chan struct{})
 	u := newUpstream(t, func(w http.ResponseWriter, r *http.Request) {
@@ -344,17 +344,17 @@
 		<-release
 		writeEvents(w, 2, 2)
 	})
-	f := newFixture(t, usualTimeout, u)
+	f := newFixture(t, testTimeout, u)
 	done := make(chan reply)
 	go func() { done <- f.send(t, context.Background(), "/stream/", nil) }()
 	await(t, "the stream has begun", func() bool { return u.seen() == 1 })
 	f.entry.Drain()
 	if got := f.entry.Ready(); got == "" {
-		t.Error("a stopping entry says that it is ready")
+		t.Error("a stopping entry reports that it is ready")
 	}
 	close(release)
 	if got := <-done; got.body != eventsOf(1, 2) || got.err != nil {
-		t.Errorf("stream in a stop: got body %q err %v, want both events", got.body, got.err)
+		t.Errorf("stream during a stop: got body %q err %v, want both events", got.body, got.err)
 	}
 	f.entry.drainingAt.Store(int64(f.entry.now() - f.entry.cfg.GraceMillis + 500))
 	got := f.send(t, context.Background(), "/stream/", map[string]string{"X-Id": "late"})
@@ -366,24 +366,24 @@
 	}
 }
 
-// Another service's upstream has taken an address that an upstream had. It says
-// that it is not the one that was meant, and has not run the request.
-func TestUpstreamIsNamed(t *testing.T) {
+// An upstream of another service may have taken over an address. The offer names the
+// upstream that is meant, so that the other one can refuse without running the request.
+func TestOfferNamesExpectedUpstream(t *testing.T) {
 	u := newUpstream(t, answerOK)
-	f := newFixture(t, usualTimeout, u)
+	f := newFixture(t, testTimeout, u)
 	f.send(t, context.Background(), "/once/", nil)
 	if got, want := u.runs[0].Header.Get("X-Upstream"), "u0"; got != want {
 		t.Errorf("upstream that is meant: got %q, want %q", got, want)
 	}
 }
 
-// A stop has gone on for three of its eight seconds when a caller sends on a
-// connection that it kept. A stream that begins now might be cut at the end
-// though streams usually take less; a plain request is done long before.
-func TestStreamsAreNotBegunLateInAStop(t *testing.T) {
+// Three of a stop's eight seconds are over when a caller sends on a connection that it
+// kept. A stream that starts now might be cut off at the end, though streams usually take
+// less. A plain request ends long before.
+func TestNoStreamStartsLateInStop(t *testing.T) {
 	u := newUpstream(t, answerOK)
-	f := newFixture(t, usualTimeout, u)
-	for range 64 { // teaches how little time answers usually take
+	f := newFixture(t, testTimeout, u)
+	for range 64 { // sets the typical time of an answer to almost nothing
 		f.send(t, context.Background(), "/again/", nil)
 	}
 	f.entry.drainingAt.Store(int64(f.entry.now() - 3000))
@@ -395,32 +395,32 @@
 	}
 }
 
-// An upstream was restarted and its record still shows the process before. The
-// new one says that it is not the one that is meant. Callers must not find that
-// out one by one: after the first, all go to another upstream at once.
-func TestReplacedUpstreamIsLeftAlone(t *testing.T) {
+// An upstream was restarted, and its record still shows the old process. The new process
+// refuses requests that name the old one. After the first refusal, all requests must go to
+// another upstream.
+func TestReplacedUpstreamGetsNoMoreRequests(t *testing.T) {
 	other := newUpstream(t, func(w http.ResponseWriter, r *http.Request) {
 		sign(w, r)
 		w.Header().Set("X-Not-Run", "1")
 		w.WriteHeader(http.StatusMisdirectedRequest)
 	})
-	f := newFixture(t, usualTimeout, other, newUpstream(t, answerOK))
+	f := newFixture(t, testTimeout, other, newUpstream(t, answerOK))
 	for range 30 {
 		if got := f.send(t, context.Background(), "/once/", nil); got.status != http.StatusOK {
 			t.Errorf("got status %d, want 200", got.status)
 		}
 	}
-	if got, most := other.seen(), 1; got > most {
-		t.Errorf("requests at the new process: got %d, want %d at most", got, most)
+	if got, limit := other.seen(), 1; got > limit {
+		t.Errorf("requests at the new process: got %d, want at most %d", got, limit)
 	}
 }
 
-// An upstream's VM freezes: connections are taken and nothing is answered, while
-// others write their streams. Callers must not wait there until they leave: what
-// waits goes on elsewhere, and nothing new is placed there.
-func TestFrozenUpstreamIsLeft(t *testing.T) {
+// An upstream's VM freezes: it accepts connections and answers nothing, while others send
+// events. Callers must not wait there until they give up: waiting streams go to another
+// upstream, and nothing new is placed at this one.
+func TestStreamsLeaveFrozenUpstream(t *testing.T) {
 	frozen := newUpstream(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
-	sound := newUpstream(t, func(w http.ResponseWriter, r *http.Request) {
+	healthy := newUpstream(t, func(w http.ResponseWriter, r *http.Request) {
 		sign(w, r)
 		w.Header().Set("Content-Type", "text/event-stream")
 		for i := range 40 {
@@ -431,7 +431,7 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 	})
-	f := newFixture(t, 8000, frozen, sound)
+	f := newFixture(t, 8000, frozen, healthy)
 	done := make(chan reply)
 	const streams = 12
 	for i := range streams {
@@ -444,16 +444,16 @@
 	}
 }
 
-// A whole group stands for some seconds, as all its streams do, and then goes
-// on. No upstream is silent while others write, and none must be left.
-func TestStandingGroupIsNoSilence(t *testing.T) {
-	p := newFixture(t, usualTimeout).entry.pool("s")
+// A whole group stalls for some seconds, with all its streams, and then resumes. No
+// upstream is silent while others send events, so no stream must leave.
+func TestStalledGroupIsNotSilent(t *testing.T) {
+	p := newFixture(t, testTimeout).entry.pool("s")
 	p.lastContact["slow"], p.lastContact["quick"] = contact{at: 1, isEvent: true}, contact{at: 1, isEvent: true}
 	p.recordEvent(1000, "quick")
 	p.recordEvent(1000, "slow")
-	p.recordEvent(5000, "quick") // the group goes on
+	p.recordEvent(5000, "quick") // the group resumes
 	if p.isSilent(5010, "slow") {
-		t.Error("silent right after the group went on")
+		t.Error("silent right after the group resumed")
 	}
 	for now := burdockclock.Millis(5000); now < 6500; now += 60 {
 		p.recordEvent(now, "quick")
@@ -466,43 +466,43 @@
 	}
 }
 
-// Callers get "outcome unknown" while all engines are full. A stream's first event
-// waits in its engine's queue for longer than a second, others have events all
-// along, and the entry takes the connection for lost. Where first events usually
-// take that long it is a queue; where they don't, it is the connection.
-func TestQueueIsNoSilence(t *testing.T) {
+// All engines are full, and a stream's first event waits in its engine's queue for more
+// than a second while other streams have events. Taking that for a lost connection gives
+// callers "outcome unknown". Where first events typically take that long, it is a queue;
+// elsewhere, it is the connection.
+func TestSlowFirstEventsRaiseSilenceLimit(t *testing.T) {
 	tests := []struct {
-		name  string
-		usual burdockclock.Millis // time to a first event
-		waits burdockclock.Millis
-		want  bool
+		name    string
+		typical burdockclock.Millis // time to a first event
+		wait    burdockclock.Millis
+		want    bool
 	}{
-		{"usual first events, a second", 200, 1000, false},
-		{"usual first events, well over a second", 200, 1300, true},
+		{"typical first events, a second", 200, 1000, false},
+		{"typical first events, well over a second", 200, 1300, true},
 		{"late first events, well over a second", 600, 1300, false},
-		{"late first events, as callers begin to leave", 600, 2300, true},
+		{"late first events, as callers begin to give up", 600, 2300, true},
 	}
 	for _, test := range tests {
-		p := newFixture(t, usualTimeout).entry.pool("s")
+		p := newFixture(t, testTimeout).entry.pool("s")
 		p.setFirstEventTimeout(2400)
 		for range 200 {
-			p.recordFirstEvent(test.usual)
+			p.recordFirstEvent(test.typical)
 		}
 		const sent burdockclock.Millis = 5000
 		p.lastContact["full"] = contact{at: sent}
-		for now := sent - 1000; now <= sent+test.waits; now += 50 {
+		for now := sent - 1000; now <= sent+test.wait; now += 50 {
 			p.recordEvent(now, "other")
 		}
-		if got := p.isSilent(sent+test.waits, "full"); got != test.want {
+		if got := p.isSilent(sent+test.wait, "full"); got != test.want {
 			t.Errorf("%s: silent: got %t, want %t", test.name, got, test.want)
 		}
 	}
 }
 
-// Operators change the pause that callers accept and the engines' figures. The
-// bound on running streams follows while the entry runs.
-func TestBoundFollowsTheConfiguration(t *testing.T) {
-	f := newFixture(t, usualTimeout, newUpstream(t, answerOK))
+// Operators change the event gap that callers accept, and the engines' figures. The limit
+// on running streams must follow while the entry runs.
+func TestStreamLimitFollowsConfiguration(t *testing.T) {
+	f := newFixture(t, testTimeout, newUpstream(t, answerOK))
 	p := f.entry.pool("s")
 	plain := p.gate.load().Slots
 	cfg := *f.site.Now().Config
@@ -512,7 +512,7 @@
 	}}}
 	f.site.SetConfig(cfg)
 	if got := p.gate.limit; got == nil {
-		t.Fatal("no bound by the engines' figures")
+		t.Fatal("no limit from the engines' figures")
 	}
 	if got := p.gate.load().Slots; got == plain {
 		t.Errorf("streams that may run: got %d as before", got)
@@ -527,6 +527,6 @@
 	}
 	f.site.SetConfig(cfg)
 	if got := p.gate.limit.State(f.entry.now()).MaxPerEngine; got >= before {
-		t.Errorf("requests for each engine with a shorter pause: got %.1f, want less than %.1f", got, before)
+		t.Errorf("requests at each engine with a shorter gap: got %.1f, want less than %.1f", got, before)
 	}
 }
--- a/internal/serve/burdockdirect/speed_test.go
+++ b/internal/serve/burdockdirect/speed_test.go
@@ -14,10 +14,10 @@
 	"burdockbend.example/burdockbend/internal/state/burdocksite"
 )
 
-// newEngines returns an entry before engines of one group.
+// newEngines returns an entry in front of the engines of one group.
 func newEngines(t *testing.T, upstreams ...*upstream) *fixture {
 	t.Helper()
-	f := newFixture(t, usualTimeout, upstreams...)
+	f := newFixture(t, testTimeout, upstreams...)
 	cfg := *f.site.Now().Config
 	cfg.Version++
 	cfg.Services = map[burdockid.Service]burdocksite.Service{"s": {Name: "s", Engine: &burdocksite.Engine{
@@ -27,12 +27,12 @@
 	return f
 }
 
-// slow tells the entry that an upstream's engine has a speed.
+// slow sets the speed of an upstream's engine.
 func (f *fixture) slow(u *upstream, speed burdockspeed.Speed) {
 	f.entry.SetSpeeds(map[string]burdockspeed.Speed{strings.TrimPrefix(u.server.URL, "http://"): speed})
 }
 
-// serveStream writes the events that are left of six.
+// serveStream writes the remaining events of a stream of six.
 func serveStream(w http.ResponseWriter, r *http.Request) {
 	sign(w, r)
 	w.Header().Set("Content-Type", "text/event-stream")
@@ -40,9 +40,9 @@
 	writeEvents(w, last+1, 6)
 }
 
-// One engine of a group turns slow, and all ranks wait for what runs on it. Its
-// callers see every stream of the group late; so new streams go elsewhere, until
-// it is sound again.
+// One engine of a group becomes slow, and all ranks wait for what runs on it, so every
+// stream of the group is late. New streams must go elsewhere until the engine is fast
+// again.
 func TestSlowEngineGetsNoNewStreams(t *testing.T) {
 	engines := []*upstream{newUpstream(t, serveStream), newUpstream(t, serveStream), newUpstream(t, serveStream)}
 	f := newEngines(t, engines...)
@@ -56,20 +56,20 @@
 	const streams = 60
 	f.slow(engines[0], 1/2.8)
 	send(streams)
-	if got, most := engines[0].seen(), streams/10; got > most {
-		t.Errorf("streams at the slow engine: got %d, want at most %d of %d", got, most, streams)
+	if got, limit := engines[0].seen(), streams/10; got > limit {
+		t.Errorf("streams at the slow engine: got %d, want at most %d of %d", got, limit, streams)
 	}
 	before := engines[0].seen()
 	f.entry.SetSpeeds(nil)
 	send(streams)
 	if got := engines[0].seen() - before; got == 0 {
-		t.Errorf("streams at the engine that is sound again: got none of %d", streams)
+		t.Errorf("streams at the engine that has recovered: got none of %d", streams)
 	}
 }
 
-// All engines of a group turn slow alike. None is worse than the others, and the
-// entry must still place streams on all of them.
-func TestGroupThatIsSlowAsAWholeIsEven(t *testing.T) {
+// All engines of a group become equally slow. None is worse than the others, so the entry
+// must still place streams on all of them.
+func TestUniformlySlowGroupHasEqualWeights(t *testing.T) {
 	members := map[burdockid.Upstream]burdocksite.Upstream{"a": {ID: "a", Address: "1:1"}, "b": {ID: "b", Address: "2:1"}}
 	engine := &burdocksite.Engine{StepMillis: 4.5, SequenceMillis: 0.9, ExpertShare: 0.85}
 	if got := speedWeights(engine, members, map[string]burdockspeed.Speed{"1:1": 0.25, "2:1": 0.25}, 7); len(got) != 0 {
@@ -77,9 +77,9 @@
 	}
 }
 
-// An engine turns slow with a stream on it. Until that stream ends, all streams
-// of the group wait for its rank in each pass. The stream goes on at another
-// engine after its last event, and its caller gets each event once.
+// An engine becomes slow while a stream runs on it. Until that stream ends, all streams of
+// the group wait for its rank in each step. The stream resumes at another engine after its
+// last event, and its caller gets each event once.
 func TestStreamsLeaveAnEngineThatTurnsSlow(t *testing.T) {
 	began, first := make(chan *http.Request, 1), sync.Once{}
 	serve := func(w http.ResponseWriter, r *http.Request) {
@@ -113,8 +113,8 @@
 	}
 }
 
-// A request that may run once has been offered to an engine that turns slow. It
-// can't be offered again, so it stays: its caller gets the answer late.
+// A request that may run only once has been offered to an engine that becomes slow. It
+// can't be offered again, so it stays and its caller gets the answer late.
 func TestRequestsThatRunOnceStayAtASlowEngine(t *testing.T) {
 	began, release := make(chan struct{}), make(chan struct{})
 	serve := func(w http.ResponseWriter, r *http.Request) {
@@ -134,9 +134,9 @@
 	}
 }
 
-// Many streams run on an engine that turns slow, more than the budget affords to
-// offer again at once. One that is cut and then given up is lost to its caller, so
-// those beyond the budget stay, and every caller gets its whole stream.
+// More streams run on an engine that becomes slow than the retry budget allows to move at
+// once. A stream that is cut and then given up is lost to its caller, so those beyond the
+// budget must stay, and every caller gets its whole stream.
 func TestStreamsBeyondTheBudgetStayAtASlowEngine(t *testing.T) {
 	const streams = 20
 	began, release := make(chan struct{}, streams), make(chan struct{})
@@ -163,17 +163,17 @@
 		go func() { done <- f.send(t, context.Background(), "/stream/", map[string]string{"X-Id": fmt.Sprint(i)}) }()
 	}
 	await(t, "all streams run", func() bool { return len(began) == streams })
-	sound := newUpstream(t, serveStream)
-	f.put(sound)
+	fast := newUpstream(t, serveStream)
+	f.put(fast)
 	f.slow(slowed, 1/2.8)
-	await(t, "some streams go on at the sound engine", func() bool { return sound.seen() > 0 })
+	await(t, "some streams resume at the fast engine", func() bool { return fast.seen() > 0 })
 	close(release)
 	for range streams {
 		if got := <-done; got.status != http.StatusOK || got.err != nil || got.body != eventsOf(1, 6) {
 			t.Errorf("got status %d err %v body %q, want 200 and events 1 to 6", got.status, got.err, got.body)
 		}
 	}
-	if got := sound.seen(); got >= streams {
-		t.Errorf("streams that left: got all %d, want no more than the budget affords", got)
+	if got := fast.seen(); got >= streams {
+		t.Errorf("streams that left: got all %d, want no more than the budget allows", got)
 	}
 }
--- a/internal/serve/burdockdirect/suspected_test.go
+++ b/internal/serve/burdockdirect/suspected_test.go
@@ -8,8 +8,8 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// tellAll returns what tells all entries at once.
-func tellAll(fixtures []*fixture) func(burdockid.Upstream) {
+// notifyAll returns a function that notifies all entries at once.
+func notifyAll(fixtures []*fixture) func(burdockid.Upstream) {
 	return func(u burdockid.Upstream) {
 		for _, f := range fixtures {
 			go f.entry.MarkSuspected([]burdockid.Upstream{u})
@@ -17,19 +17,19 @@
 	}
 }
 
-// Guards against twelve entries that each lose callers of requests which may run once
-// to one upstream that resets them all.
-func TestOneFailureHasAllEntriesAvoidAnUpstream(t *testing.T) {
+// Guards against twelve entries each losing requests that may run only once to the same
+// upstream, which resets all connections.
+func TestAllEntriesAvoidUpstreamAfterOneFailure(t *testing.T) {
 	const entries, requests = 12, 10
 	bad := newUpstream(t, cutConnection)
-	sound := []*upstream{newUpstream(t, answerOK), newUpstream(t, answerOK)}
+	healthy := []*upstream{newUpstream(t, answerOK), newUpstream(t, answerOK)}
 	var fixtures []*fixture
 	for range entries {
-		fixtures = append(fixtures, newFixture(t, usualTimeout, bad, sound[0], sound[1]))
+		fixtures = append(fixtures, newFixture(t, testTimeout, bad, healthy[0], healthy[1]))
 	}
 	for _, f := range fixtures {
-		f.entry.pool("s") // as after the first request
-		f.entry.deps.PublishSuspected = tellAll(fixtures)
+		f.entry.pool("s") // creates the pool, as the first request does
+		f.entry.deps.PublishSuspected = notifyAll(fixtures)
 	}
 	failed := 0
 	for range requests {
@@ -37,21 +37,21 @@
 			got := f.send(t, context.Background(), "/once/", nil)
 			if got.status != http.StatusOK {
 				failed++
-				awaitDoubt(t, fixtures)
+				awaitSuspected(t, fixtures)
 			}
 		}
 	}
-	if most := 1; failed > most {
-		t.Errorf("requests that may run once and failed: got %d of %d, want %d at most", failed, entries*requests, most)
+	if limit := 1; failed > limit {
+		t.Errorf("failed requests that may run only once: got %d of %d, want at most %d", failed, entries*requests, limit)
 	}
 }
 
-// awaitDoubt waits until all entries know of an upstream in doubt.
-func awaitDoubt(t *testing.T, fixtures []*fixture) {
+// awaitSuspected waits until all entries suspect an upstream.
+func awaitSuspected(t *testing.T, fixtures []*fixture) {
 	t.Helper()
 	for _, f := range fixtures {
 		p := f.entry.pool("s")
-		await(t, "doubt at all entries", func() bool {
+		await(t, "all entries suspect the upstream", func() bool {
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			return len(p.suspected.Suspected(f.entry.now(), len(p.members))) > 0
