--- a/internal/serve/burdockrank/branch.go
+++ b/internal/serve/burdockrank/branch.go
@@ -14,57 +14,57 @@
 
 // branch sends orders to some ranks through the agent of the first of them.
 //
-// Failure: that agent is dead, frozen or cut off. Symptom: none of the ranks
-// behind it has its order, and the group stands until the controller sends them
-// again. An agent that has not even said that it has the orders within the
-// patience is left out and the next one takes its place; the sender above is told
-// which ranks were not reached. An order may reach its rank twice that way, which
-// the rank takes for a question.
+// If that agent is dead, frozen or cut off, none of the ranks behind it gets its order,
+// and the group is stalled until the controller resends them. An agent that doesn't
+// acknowledge the orders within the request's timeout is therefore skipped, and the next
+// one takes its place; the sender is notified of the ranks that were not reached. An
+// order may reach its rank twice that way. The rank takes the second one for a repeated
+// request.
 type branch struct {
 	member *member
 	common *burdockwire.GroupRelayRequest // without orders
 	orders []*burdockwire.GroupRelayOrder
-	// out gets what comes back, and a last message with ended set.
-	out chan<- relayed
-	// mayWrite, if set, is asked right before each call.
-	mayWrite func() bool
+	// results receives the results, and a last one with ended set.
+	results chan<- branchResult
+	// leaseValid, if set, is checked right before each call.
+	leaseValid func() bool
 }
 
-// relayed is what comes back from a branch, or from the agent's own rank.
-type relayed struct {
+// branchResult is a result of a branch, or of the agent's own rank.
+type branchResult struct {
 	res   *burdockwire.GroupRelayResponse
 	ended bool
 }
 
 func (b branch) run(ctx context.Context) {
-	defer func() { emit(ctx, b.out, relayed{ended: true}) }()
+	defer func() { sendResult(ctx, b.results, branchResult{ended: true}) }()
 	orders := b.orders
 	for len(orders) > 0 && ctx.Err() == nil {
-		if b.mayWrite != nil && !b.mayWrite() {
+		if b.leaseValid != nil && !b.leaseValid() {
 			return
 		}
-		left, err := b.through(ctx, orders)
-		if err == nil && len(left) == 0 {
+		unanswered, err := b.sendVia(ctx, orders)
+		if err == nil && len(unanswered) == 0 {
 			return
 		}
-		if len(left) > 0 && left[0] == orders[0] {
-			emit(ctx, b.out, relayed{res: failure(burdockid.Rank(orders[0].GetTo()), err)})
-			left = left[1:]
+		if len(unanswered) > 0 && unanswered[0] == orders[0] {
+			sendResult(ctx, b.results, branchResult{res: relayFailure(burdockid.Rank(orders[0].GetTo()), err)})
+			unanswered = unanswered[1:]
 		}
-		orders = left
+		orders = unanswered
 	}
 }
 
-// through hands orders to the agent of the first rank and passes on what comes
-// back. It returns the orders without a report.
-func (b branch) through(ctx context.Context, orders []*burdockwire.GroupRelayOrder) ([]*burdockwire.GroupRelayOrder, error) {
+// sendVia sends orders to the agent of the first rank and forwards the results. It
+// returns the orders without a result.
+func (b branch) sendVia(ctx context.Context, orders []*burdockwire.GroupRelayOrder) ([]*burdockwire.GroupRelayOrder, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	req := proto.CloneOf(b.common)
 	req.Orders = orders
 	client := burdockwire.NewGroupServiceClient(b.member.deps.Peers.Client, b.member.deps.Peers.URL(orders[0].GetAgent()), burdocktransport.ClientOptions()...)
-	silence := time.AfterFunc(burdockclock.Millis(b.common.GetPatienceMillis()).Duration(), cancel)
-	defer silence.Stop()
+	ackTimer := time.AfterFunc(burdockclock.Millis(b.common.GetPatienceMillis()).Duration(), cancel)
+	defer ackTimer.Stop()
 	open := map[int32]bool{}
 	for _, order := range orders {
 		open[order.GetTo()] = true
@@ -76,34 +76,34 @@
 	}
 	defer func() { _ = stream.Close() }()
 	for stream.Receive() {
-		silence.Stop()
+		ackTimer.Stop()
 		for _, report := range stream.Msg().GetReports() {
 			delete(open, report.GetFrom())
 		}
 		for _, failed := range stream.Msg().GetFailures() {
 			delete(open, failed.GetRank())
 		}
-		emit(ctx, b.out, relayed{res: proto.CloneOf(stream.Msg())})
+		sendResult(ctx, b.results, branchResult{res: proto.CloneOf(stream.Msg())})
 	}
-	var left []*burdockwire.GroupRelayOrder
+	var unanswered []*burdockwire.GroupRelayOrder
 	for _, order := range orders {
 		if open[order.GetTo()] {
-			left = append(left, order)
+			unanswered = append(unanswered, order)
 		}
 	}
-	return left, stream.Err()
+	return unanswered, stream.Err()
 }
 
-// emit hands on what comes back unless nobody waits for it any more.
-func emit(ctx context.Context, out chan<- relayed, r relayed) {
+// sendResult forwards a result unless its receiver has stopped waiting.
+func sendResult(ctx context.Context, results chan<- branchResult, result branchResult) {
 	select {
-	case out <- r:
+	case results <- result:
 	case <-ctx.Done():
 	}
 }
 
-// failure says that a rank was not given its order.
-func failure(rank burdockid.Rank, err error) *burdockwire.GroupRelayResponse {
+// relayFailure is the result for a rank that its order did not reach.
+func relayFailure(rank burdockid.Rank, err error) *burdockwire.GroupRelayResponse {
 	reason := "no answer"
 	if err != nil {
 		reason = err.Error()
--- a/internal/serve/burdockrank/delivery.go
+++ b/internal/serve/burdockrank/delivery.go
@@ -13,181 +13,184 @@
 	"go.uber.org/zap"
 )
 
-// likeness is what orders of one round have in common, so that they can go
-// through each other's agents.
-type likeness struct {
+// roundKey is what the orders of one round have in common. Orders with the same key can
+// be relayed together.
+type roundKey struct {
 	kind    burdockwire.GroupOrderKind
 	at      uint64
 	version uint64
 }
 
-// deliver sends the orders of one round: through a tree of agents where that is
-// faster, else to each agent itself. The lock must be held.
-func (d *duty) deliver(orders []burdockgroup.SendOrder) {
-	alike := map[likeness][]burdockgroup.SendOrder{}
+// sendRound sends the orders of one round: through a tree of agents where that is faster,
+// otherwise to each agent itself. The lock must be held.
+func (l *leadership) sendRound(orders []burdockgroup.SendOrder) {
+	batches := map[roundKey][]burdockgroup.SendOrder{}
 	for _, out := range orders {
-		if !d.relayable(out) {
-			d.single(out)
+		if !l.relayable(out) {
+			l.sendSingle(out)
 			continue
 		}
 		msg := orderToWire("", out.Order)
-		like := likeness{kind: msg.GetKind(), at: msg.GetAt(), version: msg.GetMap()}
-		alike[like] = append(alike[like], out)
+		key := roundKey{kind: msg.GetKind(), at: msg.GetAt(), version: msg.GetMap()}
+		batches[key] = append(batches[key], out)
 	}
-	for _, list := range alike {
-		d.deliverAlike(list)
+	for _, batch := range batches {
+		l.sendBatch(batch)
 	}
 }
 
-// single sends one order to its rank's agent.
-func (d *duty) single(out burdockgroup.SendOrder) {
-	if d.member.enter() {
-		go sending{d, out}.run()
+// sendSingle sends one order to its rank's agent.
+func (l *leadership) sendSingle(out burdockgroup.SendOrder) {
+	if l.member.addTask() {
+		go orderTask{l, out}.run()
 	}
 }
 
-// relayable reports whether an order may go through another rank's agent. One to
-// a rank whose agent is silent is for the engine itself, and a content that was
-// asked for comes straight.
-func (d *duty) relayable(out burdockgroup.SendOrder) bool {
-	m := d.member
+// relayable reports whether an order may be relayed by another rank's agent. An order to
+// a rank whose agent doesn't answer goes to its engine, and a report with a map's content
+// is to come directly.
+func (l *leadership) relayable(out burdockgroup.SendOrder) bool {
+	m := l.member
 	if read, ok := out.Order.Body.(burdockgroup.Read); ok && read.Want != 0 {
 		return false
 	}
 	to := out.Order.To
-	return to != m.seat.Rank && m.deps.Directory.Agent(m.seat.Group, to) != "" && !m.proxies.silentNow(to)
+	return to != m.assignment.Rank && m.deps.Directory.Agent(m.assignment.Group, to) != "" && !m.remoteRanks.unresponsive(to)
 }
 
-func (d *duty) deliverAlike(list []burdockgroup.SendOrder) {
-	m := d.member
-	common := d.common(list[0])
-	branches := m.orderCost(len(common.GetContent())).branches(len(list))
-	if branches >= len(list) {
-		for _, out := range list {
-			d.single(out)
+func (l *leadership) sendBatch(batch []burdockgroup.SendOrder) {
+	m := l.member
+	common := l.common(batch[0])
+	branches := m.relayCost(len(common.GetContent())).branches(len(batch))
+	if branches >= len(batch) {
+		for _, out := range batch {
+			l.sendSingle(out)
 		}
 		return
 	}
 	common.Degree = int32(branches)
-	if list[0].Resend {
-		// What kept the first sending from its ranks may be the agent that it went
-		// through.
-		slices.Reverse(list)
-	}
-	for _, part := range parted(list, branches) {
-		if m.enter() {
-			go trunk{duty: d, common: common, list: part}.run()
+	if batch[0].Resend {
+		// The agent that relayed the orders the first time may be why they did not
+		// arrive, so another one goes first.
+		slices.Reverse(batch)
+	}
+	for _, part := range partition(batch, branches) {
+		if m.addTask() {
+			go rootBranch{leadership: l, common: common, batch: part}.run()
 		}
 	}
 }
 
-// orderCost is what a round of orders with a content of so many bytes costs.
-func (m *member) orderCost(content int) treeCost {
+// relayCost returns the cost model of a round of orders with that many bytes of content.
+func (m *member) relayCost(content int) treeCost {
 	return treeCost{
 		bytesPerMilli: m.deps.Tuning.LinkBytesPerMilli, message: float64(callBytes + content),
 		order: orderBytes, call: callMillis, hop: hopMillis,
 	}
 }
 
-// common returns what the orders of a round have in common; the content of a load
-// by its difference from the map in use where that is shorter.
-func (d *duty) common(out burdockgroup.SendOrder) *burdockwire.GroupRelayRequest {
-	m := d.member
-	msg := orderToWire(m.seat.Group, out.Order)
+// common returns the relay request for a round of orders, without the orders. The
+// content of a load is sent as its difference from the map in use if that is shorter.
+func (l *leadership) common(out burdockgroup.SendOrder) *burdockwire.GroupRelayRequest {
+	m := l.member
+	msg := orderToWire(m.assignment.Group, out.Order)
 	req := &burdockwire.GroupRelayRequest{
 		Group: msg.GetGroup(), Fence: msg.GetFence(), Kind: msg.GetKind(), Map: msg.GetMap(), At: msg.GetAt(), Content: msg.GetContent(),
-		PatienceMillis: int32(max(d.controller.RetryInterval(burdockgroup.Read{}), leastSign)),
-		Controller:     m.deps.Directory.Agent(m.seat.Group, m.seat.Rank),
+		PatienceMillis: int32(max(l.controller.RetryInterval(burdockgroup.Read{}), minAckTimeout)),
+		Controller:     m.deps.Directory.Agent(m.assignment.Group, m.assignment.Rank),
 	}
 	if load, ok := out.Order.Body.(burdockgroup.Load); ok {
-		d.shorten(req, load)
+		l.encodeAsDifference(req, load)
 	}
 	return req
 }
 
-// leastSign is the least time in which an agent has to say that it has the orders
-// of a branch: many times the way there and back on a link that is in use.
-const leastSign = 120 * burdockclock.Millis(1)
+// minAckTimeout is the minimum time that an agent has to acknowledge the orders of a
+// branch: many round trips on a busy link.
+const minAckTimeout = 120 * burdockclock.Millis(1)
 
-// shorten replaces the content of a load by its difference from the map in use.
-func (d *duty) shorten(req *burdockwire.GroupRelayRequest, load burdockgroup.Load) {
-	base := d.controller.Base()
-	known := d.member.content(base)
-	if known == nil || base == load.Map {
+// encodeAsDifference replaces the content of a load by its difference from the map in
+// use.
+func (l *leadership) encodeAsDifference(req *burdockwire.GroupRelayRequest, load burdockgroup.Load) {
+	base := l.controller.Base()
+	content := l.member.content(base)
+	if content == nil || base == load.Map {
 		return
 	}
-	from, err := burdockexpert.Decode(known)
+	current, err := burdockexpert.Decode(content)
 	if err != nil {
-		d.member.deps.Log.Error("the map in use can't be decoded", zap.Uint64("map", uint64(base)), zap.Error(err))
+		l.member.deps.Log.Error("the map in use can't be decoded", zap.Uint64("map", uint64(base)), zap.Error(err))
 		return
 	}
-	to, err := burdockexpert.Decode(load.Content)
+	next, err := burdockexpert.Decode(load.Content)
 	if err != nil {
-		d.member.deps.Log.Error("the next map can't be decoded", zap.Uint64("map", uint64(load.Map)), zap.Error(err))
+		l.member.deps.Log.Error("the next map can't be decoded", zap.Uint64("map", uint64(load.Map)), zap.Error(err))
 		return
 	}
-	difference, err := to.Difference(from)
+	difference, err := next.Difference(current)
 	if err != nil || len(difference) >= len(load.Content) {
-		return // sent whole
+		return // the full content is sent
 	}
-	req.Content, req.Base, req.Digest = difference, uint64(base), to.Digest()
+	req.Content, req.Base, req.Digest = difference, uint64(base), next.Digest()
 }
 
-// trunk sends the orders of a branch on behalf of the controller.
-type trunk struct {
-	duty   *duty
-	common *burdockwire.GroupRelayRequest
-	list   []burdockgroup.SendOrder
+// rootBranch sends the orders of a branch for the controller.
+type rootBranch struct {
+	leadership *leadership
+	common     *burdockwire.GroupRelayRequest
+	batch      []burdockgroup.SendOrder
 }
 
-func (t trunk) run() {
-	m := t.duty.member
+func (b rootBranch) run() {
+	m := b.leadership.member
 	defer m.done.Done()
 	ctx, cancel := context.WithTimeout(m.ctx, orderTimeout)
 	defer cancel()
-	out := make(chan relayed, len(t.list))
-	orders := make([]*burdockwire.GroupRelayOrder, len(t.list))
-	for i, sent := range t.list {
+	results := make(chan branchResult, len(b.batch))
+	orders := make([]*burdockwire.GroupRelayOrder, len(b.batch))
+	for i, order := range b.batch {
 		orders[i] = &burdockwire.GroupRelayOrder{
-			To: int32(sent.Order.To), Seq: sent.Order.Number.Seq, Incarnation: string(sent.Order.Incarnation),
-			Agent: m.deps.Directory.Agent(m.seat.Group, sent.Order.To),
+			To: int32(order.Order.To), Seq: order.Order.Number.Seq, Incarnation: string(order.Order.Incarnation),
+			Agent: m.deps.Directory.Agent(m.assignment.Group, order.Order.To),
 		}
 	}
-	go branch{member: m, common: t.common, orders: orders, out: out, mayWrite: t.mayWrite}.run(ctx)
+	go branch{member: m, common: b.common, orders: orders, results: results, leaseValid: b.leaseValid}.run(ctx)
 	for {
 		select {
-		case got := <-out:
-			t.take(got.res)
-			if got.ended {
+		case result := <-results:
+			b.handleResponse(result.res)
+			if result.ended {
 				return
 			}
 		case <-ctx.Done():
-			return // the controller sends again what was not answered
+			return // the controller resends what was not answered
 		}
 	}
 }
 
-// mayWrite looks at the lease right before a call is written.
-func (t trunk) mayWrite() bool { return t.duty.member.deps.Clock.Boot() < t.list[0].NotAfter }
+// leaseValid checks the lease; it is called right before a call is written.
+func (b rootBranch) leaseValid() bool {
+	return b.leadership.member.deps.Clock.Boot() < b.batch[0].NotAfter
+}
 
-// take hands the controller the reports that came back, and sends the orders
-// that did not arrive to their agents.
-func (t trunk) take(res *burdockwire.GroupRelayResponse) {
+// handleResponse passes the reports to the controller and sends the orders that were not
+// delivered directly to their agents.
+func (b rootBranch) handleResponse(res *burdockwire.GroupRelayResponse) {
 	for _, msg := range res.GetReports() {
-		t.duty.member.traffic.received(msg)
-		t.duty.plan.heardSpeed(burdockid.Rank(msg.GetFrom()), burdockspeed.Speed(msg.GetSpeed()))
+		b.leadership.member.traffic.received(msg)
+		b.leadership.planning.updateSpeed(burdockid.Rank(msg.GetFrom()), burdockspeed.Speed(msg.GetSpeed()))
 		report, err := reportFromWire(msg)
 		if err != nil {
-			t.duty.member.deps.Log.Warn("malformed report", zap.Int32("rank", msg.GetFrom()), zap.Error(err))
+			b.leadership.member.deps.Log.Warn("malformed report", zap.Int32("rank", msg.GetFrom()), zap.Error(err))
 			continue
 		}
-		t.duty.handle(burdockgroup.ReportReceived{Report: report})
+		b.leadership.handle(burdockgroup.ReportReceived{Report: report})
 	}
 	for _, failed := range res.GetFailures() {
-		t.duty.member.deps.Log.Info("an order did not come through; it is sent straight", zap.Int32("rank", failed.GetRank()), zap.String("reason", failed.GetReason()))
-		for _, out := range t.list {
-			if out.Order.To == burdockid.Rank(failed.GetRank()) && t.duty.member.enter() {
-				go sending{t.duty, out}.run()
+		b.leadership.member.deps.Log.Info("relayed order was not delivered; sending it directly", zap.Int32("rank", failed.GetRank()), zap.String("reason", failed.GetReason()))
+		for _, order := range b.batch {
+			if order.Order.To == burdockid.Rank(failed.GetRank()) && b.leadership.member.addTask() {
+				go orderTask{b.leadership, order}.run()
 			}
 		}
 	}
--- a/internal/serve/burdockrank/directory.go
+++ b/internal/serve/burdockrank/directory.go
@@ -11,7 +11,7 @@
 	"burdockbend.example/burdockbend/internal/state/burdockfleet"
 )
 
-// LeaseStore is what the duty of a group needs of the configuration store. The
+// LeaseStore is the part of the configuration store that a group's controller needs. The
 // methods are those of burdockstore.Store.
 type LeaseStore interface {
 	Acquire(ctx context.Context, name, holder string, ttl burdockclock.Millis) (burdockstore.Lease, error)
@@ -19,38 +19,40 @@
 	Release(ctx context.Context, name, holder string) error
 }
 
-// Assignment is a place in a group; the zero value is none. A machine that was made
-// for one seat knows nothing that holds for another.
+// Assignment is a rank in a group; the zero value means none. State that was built for
+// one assignment is never reused for another.
 type Assignment struct {
 	Group string
 	Rank  burdockid.Rank
 	Ranks int
 }
 
-// Directory tells who is in which group.
+// Directory provides the assignment of this agent's upstream and the addresses of the
+// group's agents.
 type Directory interface {
-	// Assignment returns the place of the upstream beside this agent.
+	// Assignment returns the rank assigned to this agent's upstream.
 	Assignment() Assignment
 	// Agent returns the IP:port of the agent of a rank, or "".
 	Agent(group string, rank burdockid.Rank) string
-	// Refresh asks for the addresses of a group's agents to be read again, since
-	// one is missing or doesn't answer. It doesn't wait.
+	// Refresh requests that the addresses of a group's agents are read again, because one
+	// is missing or doesn't answer. It doesn't wait.
 	Refresh(group string)
-	// Reload reads the addresses of a group's agents and waits for them. Without an
-	// answer those known before stand.
+	// Reload reads the addresses of a group's agents and waits for the result. Without an
+	// answer the addresses known before are kept.
 	Reload(ctx context.Context, group string)
-	// Experts returns how the upstream's service weighs even ranks against
-	// moves of experts.
+	// Experts returns how the upstream's service weighs an even load of ranks against the
+	// cost of moving experts.
 	Experts() burdockprofile.Experts
 }
 
-// fleetDirectory reads the operators' membership.
+// fleetDirectory is the Directory of the membership that operators configure.
 type fleetDirectory struct {
 	fleet    *burdockfleet.Fleet
 	upstream burdockid.Upstream
 }
 
-// NewFleetDirectory returns the directory that the operators' membership is.
+// NewFleetDirectory returns a Directory that reads the membership that operators
+// configure.
 func NewFleetDirectory(fleet *burdockfleet.Fleet, upstream burdockid.Upstream) Directory {
 	return fleetDirectory{fleet, upstream}
 }
@@ -89,10 +91,10 @@
 }
 
 // groupOf returns the members of an upstream's group.
-func groupOf(fleet *burdockfleet.Snapshot, of burdockmember.Upstream) []burdockmember.Upstream {
+func groupOf(fleet *burdockfleet.Snapshot, member burdockmember.Upstream) []burdockmember.Upstream {
 	var members []burdockmember.Upstream
-	for _, u := range fleet.Members[of.Service] {
-		if u.Group == of.Group {
+	for _, u := range fleet.Members[member.Service] {
+		if u.Group == member.Group {
 			members = append(members, u)
 		}
 	}
--- a/internal/serve/burdockrank/dump.go
+++ b/internal/serve/burdockrank/dump.go
@@ -8,7 +8,7 @@
 	"burdockbend.example/burdockbend/internal/group/burdockgroup"
 )
 
-// State is what a dump shows of an agent's place in a lock-stepped group.
+// State is the part of the state dump on an agent's rank in a lock-stepped group.
 type State struct {
 	Group      string                       `json:"group"`
 	Ranks      int                          `json:"ranks"`
@@ -16,12 +16,12 @@
 	Controller burdockgroup.ControllerState `json:"controller"`
 	Planner    PlannerState                 `json:"planner"`
 	Traffic    TrafficState                 `json:"traffic"`
-	// Faults are broken invariants that the agent saw, the oldest first.
+	// Faults are the violated invariants that the agent detected, the oldest first.
 	Faults []string `json:"faults"`
 }
 
-// PlannerState is the part of the dump on the choice of maps. It is of use at
-// the agent that holds the group's lease.
+// PlannerState is the part of the state dump on the planner. It is meaningful only at the
+// agent that holds the group's lease.
 type PlannerState struct {
 	burdockexpert.State
 	NeedInitialMap  bool             `json:"needFirst"`
@@ -29,7 +29,7 @@
 	RanksWithCounts []burdockid.Rank `json:"heard"` // ranks whose counts are known
 }
 
-// TrafficState counts the messages of the agent's controller, without framing.
+// TrafficState counts the messages of the agent's controller, without HTTP framing.
 type TrafficState struct {
 	Orders      int64 `json:"orders"`
 	OrderBytes  int64 `json:"orderBytes"`
@@ -39,18 +39,18 @@
 	CountBytes  int64 `json:"countBytes"`
 }
 
-// State returns a copy of what the agent knows of its group; nil if its
-// upstream is in none.
+// State returns a copy of the agent's state in its group, or nil if its upstream is in
+// none.
 func (h *Host) State() *State {
 	m := h.member()
 	if m == nil {
 		return nil
 	}
 	s := &State{
-		Group:      m.seat.Group,
-		Ranks:      m.seat.Ranks,
-		Controller: m.duty.state(),
-		Planner:    m.duty.plan.state(),
+		Group:      m.assignment.Group,
+		Ranks:      m.assignment.Ranks,
+		Controller: m.leadership.state(),
+		Planner:    m.leadership.planning.state(),
 		Traffic:    m.traffic.state(),
 	}
 	m.mu.Lock()
@@ -63,7 +63,7 @@
 func (p *planning) state() PlannerState {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := PlannerState{State: p.planner.State(), NeedInitialMap: p.needFirst, Wanted: p.wishedAt != 0, RanksWithCounts: []burdockid.Rank{}}
+	s := PlannerState{State: p.planner.State(), NeedInitialMap: p.needInitialMap, Wanted: p.wantedAt != 0, RanksWithCounts: []burdockid.Rank{}}
 	for r, c := range p.counts {
 		if c.Tokens != nil {
 			s.RanksWithCounts = append(s.RanksWithCounts, burdockid.Rank(r))
--- a/internal/serve/burdockrank/engine.go
+++ b/internal/serve/burdockrank/engine.go
@@ -9,27 +9,26 @@
 	"burdockbend.example/burdockbend/internal/group/burdockgroup"
 )
 
-// engineQueue hands a rank's orders to its engine one by one. Two at a time
-// could overtake each other, and a status would not show the order before it.
+// engineQueue sends a rank's orders to its engine one at a time. Concurrent orders could
+// overtake each other, and a status would not reflect the order before it.
 type engineQueue struct {
 	member *member
 	wake   chan struct{}
 
-	mu      sync.Mutex
-	pending []burdockgroup.OrderEngine
-	life    int // counts the engines that were lost
+	mu         sync.Mutex
+	pending    []burdockgroup.OrderEngine
+	generation int // number of engines lost so far
 }
 
 func newEngineQueue(m *member) *engineQueue {
 	return &engineQueue{member: m, wake: make(chan struct{}, 1)}
 }
 
-// add puts an order at the end. A question for the status takes the place of
-// one before it, so that an engine that hangs doesn't gather one for each
-// retry.
+// add appends an order. A status request replaces one directly before it, so that an
+// engine that doesn't answer doesn't accumulate one for each retry.
 func (q *engineQueue) add(order burdockgroup.OrderEngine) {
 	q.mu.Lock()
-	if n := len(q.pending); n > 0 && reads(order) && reads(q.pending[n-1]) {
+	if n := len(q.pending); n > 0 && isStatusRead(order) && isStatusRead(q.pending[n-1]) {
 		q.pending[n-1] = order
 	} else {
 		q.pending = append(q.pending, order)
@@ -41,7 +40,7 @@
 	}
 }
 
-func reads(order burdockgroup.OrderEngine) bool {
+func isStatusRead(order burdockgroup.OrderEngine) bool {
 	_, ok := order.Order.(burdockgroup.ReadStatus)
 	return ok
 }
@@ -62,7 +61,7 @@
 	for {
 		order, ok := q.next()
 		if ok {
-			q.hand(order)
+			q.execute(order)
 			continue
 		}
 		select {
@@ -73,28 +72,28 @@
 	}
 }
 
-func (q *engineQueue) hand(order burdockgroup.OrderEngine) {
-	life := q.lives()
+func (q *engineQueue) execute(order burdockgroup.OrderEngine) {
+	generation := q.currentGeneration()
 	status, err := q.member.deps.Engine.Order(q.member.ctx, order.Fence, order.Order)
 	ticket := order.Ticket
 	if err == nil {
-		ticket = q.answers(ticket, life)
+		ticket = q.answeredTicket(ticket, generation)
 	}
 	q.member.handle(burdockgroup.EngineAnswered{Ticket: ticket, Status: status, Failed: err != nil})
 }
 
-// answers returns the ticket that an answer is for.
+// answeredTicket returns the ticket that an answer is for.
 //
-// Failure: an engine takes longer to answer than the rank's retry. Symptom: each
-// answer is for an older ticket than the rank's last question, so it is passed
-// over, and the group never sees the rank again. The status after an order
-// answers the question for the status that was put meanwhile, as nothing came
-// between the two; unless the engine was lost, for then the question is meant
-// for the next one.
-func (q *engineQueue) answers(ticket uint64, life int) uint64 {
+// If an engine takes longer to answer than the rank's retry interval, each answer has an
+// older ticket than the rank's latest request. The rank would ignore all of them, and the
+// group would never see the rank again. The status after an order therefore also answers
+// a status request that was queued meanwhile, as no order comes between them. This
+// doesn't hold if the engine was lost, because the request is then meant for the next
+// engine.
+func (q *engineQueue) answeredTicket(ticket uint64, generation int) uint64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if life != q.life || len(q.pending) != 1 || !reads(q.pending[0]) {
+	if generation != q.generation || len(q.pending) != 1 || !isStatusRead(q.pending[0]) {
 		return ticket
 	}
 	ticket = q.pending[0].Ticket
@@ -102,47 +101,48 @@
 	return ticket
 }
 
-func (q *engineQueue) lives() int {
+func (q *engineQueue) currentGeneration() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.life
+	return q.generation
 }
 
-// lost says that answers still on their way are those of a lost engine.
+// lost marks outstanding answers as those of a lost engine.
 func (q *engineQueue) lost() {
 	q.mu.Lock()
-	q.life++
+	q.generation++
 	q.mu.Unlock()
 	q.member.handle(burdockgroup.EngineLost{})
 }
 
-// engineWatch follows the steps of an engine, and sees when it is another one.
+// engineWatch polls the finished steps of an engine, and detects that it was replaced by
+// another.
 type engineWatch struct{ member *member }
 
 func (w engineWatch) loop() {
 	defer w.member.done.Done()
 	ticker := time.NewTicker(w.member.deps.Tuning.WatchInterval.Duration())
 	defer ticker.Stop()
-	var seen watched
+	var seen watchState
 	for {
 		select {
 		case <-w.member.ctx.Done():
 			return
 		case <-ticker.C:
-			seen = w.look(seen)
+			seen = w.poll(seen)
 		}
 	}
 }
 
-// watched is what a watch has seen of an engine.
-type watched struct {
-	life burdockengine.Life
-	from burdockid.Step
-	lost bool // the last question was not answered
+// watchState is what a watch knows of an engine.
+type watchState struct {
+	life     burdockengine.Life
+	nextStep burdockid.Step
+	lost     bool // the last poll failed
 }
 
-func (w engineWatch) look(seen watched) watched {
-	answer, err := w.member.deps.Engine.Steps(w.member.ctx, seen.from)
+func (w engineWatch) poll(seen watchState) watchState {
+	answer, err := w.member.deps.Engine.Steps(w.member.ctx, seen.nextStep)
 	if err != nil {
 		if !seen.lost && seen.life != "" {
 			w.member.engine.lost()
@@ -155,12 +155,12 @@
 		if seen.life != "" {
 			w.member.engine.lost()
 		}
-		// The new engine's steps are told from its first one on next time.
-		return watched{life: answer.Life}
+		// The next poll returns the new engine's steps from its first one on.
+		return watchState{life: answer.Life}
 	}
 	for _, s := range answer.Steps {
 		w.member.handle(burdockgroup.StepFinished(s))
-		seen.from = s.Step + 1
+		seen.nextStep = s.Step + 1
 	}
 	return seen
 }
--- a/internal/serve/burdockrank/host.go
+++ b/internal/serve/burdockrank/host.go
@@ -1,7 +1,7 @@
-// Package burdockrank runs the map change of lock-stepped groups in an agent:
-// the state machines of burdockgroup on real time, messages, leases and an
-// engine, and the planner of burdockexpert on the popularity that the engines
-// report. docs/design/mapchange.md says how the parts work together.
+// Package burdockrank is the agents' part in changing the expert map of lock-stepped
+// groups. It connects the state machines of burdockgroup with clocks, messages, leases
+// and an engine, and the planner of burdockexpert with the popularity that the engines
+// report. docs/design/mapchange.md describes how the parts work together.
 package burdockrank
 
 import (
@@ -16,34 +16,33 @@
 	"go.uber.org/zap"
 )
 
-// followEvery is how often a host looks whether its upstream's group changed.
-const followEvery = 200 * time.Millisecond
+// assignmentPollInterval is how often a host checks whether its upstream's assignment has
+// changed.
+const assignmentPollInterval = 200 * time.Millisecond
 
-// Deps is what a host works with.
+// Deps holds the dependencies of a host.
 type Deps struct {
 	Clock  burdockclock.Clock
 	Engine burdockengine.GroupEngine
-	// EngineFor, if set, returns the engine of a seat, in place of Engine.
+	// EngineFor, if set, returns the engine of an assignment. It is used in place of
+	// Engine.
 	EngineFor func(Assignment) burdockengine.GroupEngine
 	Store     LeaseStore
-	// Directory tells the seat and the peers.
+	// Directory returns the assignment and the addresses of the peers.
 	Directory Directory
 	Peers     *burdocktransport.Peers
 	Log       *zap.Logger
-	// RemoteEngine returns the engine of another rank as it is ordered from this VM, nil
-	// if its address is not known; without RemoteEngine engines take no orders from
-	// afar.
+	// RemoteEngine returns a client for the engine of another rank, or nil if its address
+	// isn't known. If RemoteEngine is nil, engines accept no orders from other VMs.
 	RemoteEngine func(group string, rank burdockid.Rank) burdockengine.GroupEngine
-	// InitialMap returns the version and content of the map that engines of a group
-	// begin with; nil where they begin without one.
+	// InitialMap returns the version and content of the map that engines of a group start
+	// with. It is nil where they start without one.
 	InitialMap func(ranks int) (burdockid.MapVersion, []byte, error)
-	// Tuning is how fast the group follows its popularity. Fields that are zero
-	// take their defaults.
+	// Tuning holds the intervals and limits. Zero fields take their defaults.
 	Tuning Tuning
 }
 
-// Host speaks for the rank that the fleet's membership gives its upstream, if
-// it gives one.
+// Host runs the rank that the membership assigns to its upstream, if any.
 type Host struct {
 	upstream burdockid.Upstream
 	deps     Deps
@@ -54,16 +53,16 @@
 	current *member // nil while the upstream is in no group
 }
 
-// NewHost returns the host of an upstream. Its loop must be started with Start.
+// NewHost returns the host of an upstream. Call Start to run it.
 func NewHost(upstream burdockid.Upstream, deps Deps) *Host {
 	deps.Tuning.setDefaults()
 	return &Host{upstream: upstream, deps: deps, stop: make(chan struct{}), stopped: make(chan struct{})}
 }
 
-// Start begins to follow the fleet.
+// Start starts following the upstream's assignment.
 func (h *Host) Start() { go h.loop() }
 
-// Close gives up the rank and the group's lease.
+// Close gives up the rank and releases the group's lease.
 func (h *Host) Close() {
 	close(h.stop)
 	<-h.stopped
@@ -72,27 +71,28 @@
 
 func (h *Host) loop() {
 	defer close(h.stopped)
-	ticker := time.NewTicker(followEvery)
+	ticker := time.NewTicker(assignmentPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-h.stop:
 			return
 		case <-ticker.C:
-			h.follow()
+			h.updateAssignment()
 		}
 	}
 }
 
-func (h *Host) follow() {
+func (h *Host) updateAssignment() {
 	want := h.deps.Directory.Assignment()
 	m := h.member()
 	switch {
-	case m == nil && want.Group == "", m != nil && m.seat == want:
+	case m == nil && want.Group == "", m != nil && m.assignment == want:
 	case want.Group == "":
 		h.replace(nil)
 	default:
-		// The old machines end before the new ones begin: an engine has one door.
+		// The old state machines must end before the new ones start: an engine accepts
+		// orders from one rank machine only.
 		h.replace(nil)
 		h.replace(newMember(want, h.upstream, h.deps, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))))
 	}
@@ -104,9 +104,9 @@
 	return h.current
 }
 
-// memberOf returns the member of a group, nil if the upstream is not in it.
+// memberOf returns the member of a group, or nil if the upstream isn't in it.
 func (h *Host) memberOf(group string) *member {
-	if m := h.member(); m != nil && m.seat.Group == group {
+	if m := h.member(); m != nil && m.assignment.Group == group {
 		return m
 	}
 	return nil
--- a/internal/serve/burdockrank/lease.go
+++ b/internal/serve/burdockrank/lease.go
@@ -15,143 +15,144 @@
 )
 
 const (
-	// leaseSpread is the part of LeaseRenewInterval by which it varies, so that a store
-	// that comes back isn't met by all groups at once.
-	leaseSpread = 0.2
-	// mostStagger bounds that for large groups.
-	mostStagger    = 3 * burdockclock.Second
+	// leaseJitter is the fraction of LeaseRenewInterval by which the interval varies. It
+	// keeps all groups from sending requests at the same moment to a store that has just
+	// come back.
+	leaseJitter = 0.2
+	// maxStagger bounds the delay of the first try in large groups.
+	maxStagger     = 3 * burdockclock.Second
 	releaseTimeout = time.Second
 )
 
 // LeaseName returns the name of the lease of a group.
 func LeaseName(group string) string { return "group/" + group }
 
-// leaseKeeper gets and renews the lease of a group.
+// leaseKeeper acquires and renews the lease of a group.
 type leaseKeeper struct {
 	member *member
 	holder string
-	random *rand.Rand // of its loop alone
-	held   bool       // of its loop, and after its end
+	random *rand.Rand // used only by the loop
+	held   bool       // used by the loop, and by release once the loop has ended
 
-	mu     sync.Mutex
-	tenure tenure
+	mu   sync.Mutex
+	term leaseTerm
 }
 
 func newLeaseKeeper(m *member, random *rand.Rand) *leaseKeeper {
 	return &leaseKeeper{
 		member: m, holder: string(m.upstream) + "/" + string(m.incarnation), random: random,
-		tenure: tenure{ttl: m.deps.Tuning.LeaseTTL, outage: m.deps.Tuning.MaxStoreOutage},
+		term: leaseTerm{ttl: m.deps.Tuning.LeaseTTL, maxStoreOutage: m.deps.Tuning.MaxStoreOutage},
 	}
 }
 
 func (k *leaseKeeper) loop() {
 	defer k.member.done.Done()
-	wait := min(burdockclock.Millis(k.member.seat.Rank)*k.member.deps.Tuning.LeaseStagger, mostStagger)
+	wait := min(burdockclock.Millis(k.member.assignment.Rank)*k.member.deps.Tuning.LeaseStagger, maxStagger)
 	for k.member.sleep(wait) {
-		k.try()
-		wait = k.pause()
+		k.acquire()
+		wait = k.retryDelay()
 	}
 }
 
-// pause is the time to the next try: LeaseRenewInterval, give or take its spread, or
-// LeaseRetryInterval while the lease isn't held.
-func (k *leaseKeeper) pause() burdockclock.Millis {
-	every := k.member.deps.Tuning.LeaseRenewInterval
-	if look := k.member.deps.Tuning.LeaseRetryInterval; look > 0 && !k.held {
-		every = look
+// retryDelay is the time to the next request: LeaseRenewInterval, or LeaseRetryInterval
+// while the lease isn't held, with jitter.
+func (k *leaseKeeper) retryDelay() burdockclock.Millis {
+	interval := k.member.deps.Tuning.LeaseRenewInterval
+	if retry := k.member.deps.Tuning.LeaseRetryInterval; retry > 0 && !k.held {
+		interval = retry
 	}
-	return burdockclock.Millis(float64(every) * (1 + leaseSpread*(k.random.Float64()-0.5)))
+	return burdockclock.Millis(float64(interval) * (1 + leaseJitter*(k.random.Float64()-0.5)))
 }
 
-// try gets or renews the lease. It counts from before the request: the store
-// may have granted it as soon as it was asked. When there is no answer nothing
-// is known, and a lease that was held lapses by itself or is believed for
-// longer.
-func (k *leaseKeeper) try() {
+// acquire acquires or renews the lease. The lease counts from before the request, because
+// the store may have granted it as soon as it received the request. Without an answer the
+// state in the store is unknown: a lease that was held is extended without the store
+// where that is allowed, and otherwise expires.
+func (k *leaseKeeper) acquire() {
 	m := k.member
-	before := m.deps.Clock.Boot()
+	requestedAt := m.deps.Clock.Boot()
 	ctx := m.ctx
 	if k.held {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, k.patience().Duration())
+		ctx, cancel = context.WithTimeout(ctx, k.renewTimeout().Duration())
 		defer cancel()
 	}
-	lease, err := m.deps.Store.Acquire(ctx, LeaseName(m.seat.Group), k.holder, m.deps.Tuning.LeaseTTL)
+	lease, err := m.deps.Store.Acquire(ctx, LeaseName(m.assignment.Group), k.holder, m.deps.Tuning.LeaseTTL)
 	switch {
 	case err == nil:
 		if !k.held {
-			m.deps.Log.Info("controls the group", zap.String("group", m.seat.Group), zap.Uint64("fence", uint64(lease.Fence)))
+			m.deps.Log.Info("controls the group", zap.String("group", m.assignment.Group), zap.Uint64("fence", uint64(lease.Fence)))
 		}
 		if !k.held {
-			// The first orders go to all ranks; without their addresses they would wait to
-			// be sent again.
-			m.deps.Directory.Reload(ctx, m.seat.Group)
+			// The first orders go to all ranks. An order to a rank without a known
+			// address would have to wait until it is resent.
+			m.deps.Directory.Reload(ctx, m.assignment.Group)
 		}
 		k.held = true
-		m.duty.handle(burdockgroup.LeaseHeld{Lease: k.confirm(before, lease.Fence)})
+		m.leadership.handle(burdockgroup.LeaseHeld{Lease: k.confirm(requestedAt, lease.Fence)})
 	case errorx.IsOfType(err, burdockstore.ErrConflict):
 		k.held = false
-		k.end()
-		m.duty.handle(burdockgroup.LeaseLost{})
+		k.drop()
+		m.leadership.handle(burdockgroup.LeaseLost{})
 	default:
-		if believed, ok := k.believe(); ok {
-			m.duty.handle(burdockgroup.LeaseHeld{Lease: believed})
+		if extended, ok := k.extend(); ok {
+			m.leadership.handle(burdockgroup.LeaseHeld{Lease: extended})
 		}
 	}
 }
 
-// patience bounds the renewal of a lease that is held, so that one that hangs is
-// over while the lease still stands.
-func (k *leaseKeeper) patience() burdockclock.Millis {
-	pace := k.member.deps.Tuning
-	return max((pace.LeaseTTL-pace.LeaseRenewInterval)/questionsPerLease, pace.LeaseRenewInterval)
+// renewTimeout bounds the renewal of a held lease, so that a renewal that hangs ends
+// before the lease expires.
+func (k *leaseKeeper) renewTimeout() burdockclock.Millis {
+	tuning := k.member.deps.Tuning
+	return max((tuning.LeaseTTL-tuning.LeaseRenewInterval)/renewalsPerLease, tuning.LeaseRenewInterval)
 }
 
-// questionsPerLease is how many renewals without an answer a lease outlasts: with
-// one, a single lost answer would end it.
-const questionsPerLease = 2
+// renewalsPerLease is how many renewals without an answer a lease outlasts. With one, a
+// single lost answer would end it.
+const renewalsPerLease = 2
 
-func (k *leaseKeeper) confirm(asked burdockclock.Millis, fence burdockid.Fence) burdockgroup.Lease {
+func (k *leaseKeeper) confirm(requestedAt burdockclock.Millis, fence burdockid.Fence) burdockgroup.Lease {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.tenure.confirm(asked, fence)
+	return k.term.confirm(requestedAt, fence)
 }
 
-func (k *leaseKeeper) believe() (burdockgroup.Lease, bool) {
+func (k *leaseKeeper) extend() (burdockgroup.Lease, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	first := k.tenure.confirmed()
-	lease, ok := k.tenure.believe(k.member.deps.Clock.Boot())
-	if ok && first {
-		k.member.deps.Log.Warn("goes on to control the group without the store", zap.String("group", k.member.seat.Group),
-			zap.Uint64("fence", uint64(lease.Fence)), zap.Int64("mostMillis", int64(k.tenure.outage)))
+	wasConfirmed := k.term.confirmedByStore()
+	lease, ok := k.term.extend(k.member.deps.Clock.Boot())
+	if ok && wasConfirmed {
+		k.member.deps.Log.Warn("goes on to control the group without the store", zap.String("group", k.member.assignment.Group),
+			zap.Uint64("fence", uint64(lease.Fence)), zap.Int64("mostMillis", int64(k.term.maxStoreOutage)))
 	}
 	return lease, ok
 }
 
-// confirmed reports whether the store's word is all that the lease rests on.
-func (k *leaseKeeper) confirmed() bool {
+// confirmedByStore reports whether the lease is as the store confirmed it, not extended.
+func (k *leaseKeeper) confirmedByStore() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.tenure.confirmed()
+	return k.term.confirmedByStore()
 }
 
-// end forgets the lease, when the store or a rank says that another agent has
-// it or when it lapsed.
-func (k *leaseKeeper) end() {
+// drop drops the lease: it has expired, or the store or a rank reported that another
+// agent holds it.
+func (k *leaseKeeper) drop() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.tenure.end()
+	k.term.drop()
 }
 
-// release gives the lease up early on a planned stop, so that another agent
-// need not wait until it lapses. The loop must have ended.
+// release releases the lease on a planned stop, so that another agent need not wait until
+// it expires. The loop must have ended.
 func (k *leaseKeeper) release() {
 	if !k.held {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
-	// Without an answer the lease lapses.
-	_ = k.member.deps.Store.Release(ctx, LeaseName(k.member.seat.Group), k.holder)
+	// Without an answer the lease expires by itself.
+	_ = k.member.deps.Store.Release(ctx, LeaseName(k.member.assignment.Group), k.holder)
 }
--- /dev/null
+++ b/internal/serve/burdockrank/leaseterm_test.go
@@ -0,0 +1,69 @@
+package burdockrank
+
+import (
+	"testing"
+
+	"burdockbend.example/burdockbend/internal/base/burdockclock"
+	"burdockbend.example/burdockbend/internal/base/burdockid"
+)
+
+const (
+	testTTL          = 1500 * burdockclock.Millis(1)
+	testEvery        = 400 * burdockclock.Millis(1)
+	testFence        = burdockid.Fence(7)
+	testOutage       = 20 * burdockclock.Second
+	testStart        = burdockclock.Minute
+	testMinExtension = testStart + 19*burdockclock.Second
+)
+
+// If the store is out and the lease expires, the group has no controller that follows the
+// popularity, and streams are late for seconds. The controller must extend its lease for
+// the maximum store outage, and no longer.
+func TestLeaseIsExtendedDuringStoreOutage(t *testing.T) {
+	held := leaseTerm{ttl: testTTL, maxStoreOutage: testOutage}
+	held.confirm(testStart, testFence)
+	now := testStart
+	for ; ; now += testEvery {
+		lease, ok := held.extend(now)
+		if !ok {
+			break
+		}
+		if lease.Fence != testFence || lease.Until <= now {
+			t.Fatalf("%d ms after the last confirmation: got %+v", now-testStart, lease)
+		}
+	}
+	if now < testMinExtension || held.until > testStart+testOutage {
+		t.Errorf("store outage: got a lease until %d ms after the last confirmation, not extended from %d ms on; want about %d",
+			held.until-testStart, now-testStart, testOutage)
+	}
+}
+
+// A VM freezes while the store is out and resumes after its lease has expired. Another
+// agent may hold the lease by then, so this one must not go on.
+func TestExpiredLeaseIsNotExtended(t *testing.T) {
+	held := leaseTerm{ttl: testTTL, maxStoreOutage: testOutage}
+	held.confirm(testStart, testFence)
+	if lease, ok := held.extend(testStart + testTTL); ok {
+		t.Errorf("after the lease expired: got %+v, want none", lease)
+	}
+}
+
+// A rank reports a newer controller. A store that doesn't answer must not reinstate the
+// old one.
+func TestDroppedLeaseIsNotExtended(t *testing.T) {
+	held := leaseTerm{ttl: testTTL, maxStoreOutage: testOutage}
+	held.confirm(testStart, testFence)
+	held.drop()
+	if lease, ok := held.extend(testStart + 1); ok {
+		t.Errorf("after drop: got %+v, want none", lease)
+	}
+}
+
+// Without a maximum store outage, a lease expires by itself.
+func TestLeaseExpiresWithoutExtension(t *testing.T) {
+	held := leaseTerm{ttl: testTTL}
+	held.confirm(testStart, testFence)
+	if lease, ok := held.extend(testStart + testEvery); ok {
+		t.Errorf("store outage: got %+v, want none", lease)
+	}
+}
--- a/internal/serve/burdockrank/relay.go
+++ b/internal/serve/burdockrank/relay.go
@@ -12,66 +12,67 @@
 
 // Relay implements burdockwire.GroupServiceHandler.
 func (h *Host) Relay(ctx context.Context, req *connect.Request[burdockwire.GroupRelayRequest], stream *connect.ServerStream[burdockwire.GroupRelayResponse]) error {
-	m, err := h.find(req.Msg.GetGroup())
+	m, err := h.memberFor(req.Msg.GetGroup())
 	if err != nil {
 		return err
 	}
-	if err := checkRelay(req.Msg, m.seat); err != nil {
+	if err := checkRelay(req.Msg, m.assignment); err != nil {
 		return connect.NewError(connect.CodeInvalidArgument, err)
 	}
-	// Nothing yet: the sender learns that the orders have come.
+	// The empty message tells the sender that the orders have arrived.
 	if err := stream.Send(&burdockwire.GroupRelayResponse{}); err != nil {
 		return err
 	}
 	return newRelay(m, req.Msg).serve(ctx, stream.Send)
 }
 
-// checkRelay returns what is wrong with the orders of a branch.
-func checkRelay(req *burdockwire.GroupRelayRequest, seat Assignment) error {
+// checkRelay returns an error if the orders of a branch are malformed.
+func checkRelay(req *burdockwire.GroupRelayRequest, assignment Assignment) error {
 	if len(req.GetOrders()) == 0 || req.GetDegree() < 1 {
 		return ErrMalformed.New("%d orders for branches of %d", len(req.GetOrders()), req.GetDegree())
 	}
 	seen := map[int32]bool{}
 	for _, order := range req.GetOrders() {
-		if to := order.GetTo(); to < 0 || int(to) >= seat.Ranks || seen[to] {
-			return ErrMalformed.New("an order to rank %d, which is none of %d or has one already", to, seat.Ranks)
+		if to := order.GetTo(); to < 0 || int(to) >= assignment.Ranks || seen[to] {
+			return ErrMalformed.New("an order to rank %d, which is none of %d or has one already", to, assignment.Ranks)
 		}
 		seen[order.GetTo()] = true
 	}
-	if first := burdockid.Rank(req.GetOrders()[0].GetTo()); first != seat.Rank {
-		return ErrMalformed.New("the first order is for rank %d, this is rank %d", first, seat.Rank)
+	if first := burdockid.Rank(req.GetOrders()[0].GetTo()); first != assignment.Rank {
+		return ErrMalformed.New("the first order is for rank %d, this is rank %d", first, assignment.Rank)
 	}
 	return nil
 }
 
-// relay carries out the order of this agent's rank and passes the others on.
+// relay executes the order for this agent's rank and relays the others.
 type relay struct {
-	member *member
-	req    *burdockwire.GroupRelayRequest
-	out    chan relayed
+	member  *member
+	req     *burdockwire.GroupRelayRequest
+	results chan branchResult
 }
 
 func newRelay(m *member, req *burdockwire.GroupRelayRequest) *relay {
-	return &relay{member: m, req: req, out: make(chan relayed, len(req.GetOrders())+1)}
+	return &relay{member: m, req: req, results: make(chan branchResult, len(req.GetOrders())+1)}
 }
 
-// serve sends what comes back as it comes, all that is there in one message.
+// serve sends results as they arrive. Results that are available at the same time share
+// one message.
 func (r *relay) serve(ctx context.Context, send func(*burdockwire.GroupRelayResponse) error) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	working := 1
+	active := 1
 	go r.run(ctx)
-	for _, part := range parted(r.req.GetOrders()[1:], int(r.req.GetDegree())) {
-		working++
-		go branch{member: r.member, common: withoutOrders(r.req), orders: part, out: r.out}.run(ctx)
+	for _, part := range partition(r.req.GetOrders()[1:], int(r.req.GetDegree())) {
+		active++
+		go branch{member: r.member, common: commonFields(r.req), orders: part, results: r.results}.run(ctx)
 	}
-	for working > 0 {
+	for active > 0 {
 		res := &burdockwire.GroupRelayResponse{}
 		ended, err := r.gather(ctx, res)
 		if err != nil {
 			return err
 		}
-		working -= ended
+		active -= ended
 		if len(res.GetReports())+len(res.GetFailures()) == 0 {
 			continue
 		}
@@ -82,100 +83,101 @@
 	return nil
 }
 
-// gather waits for something and takes all that is there. It returns how many
+// gather waits for a result and then takes all that are available. It returns how many
 // senders have ended.
 func (r *relay) gather(ctx context.Context, into *burdockwire.GroupRelayResponse) (int, error) {
 	ended := 0
-	take := func(got relayed) {
-		if got.ended {
+	take := func(result branchResult) {
+		if result.ended {
 			ended++
 		}
-		into.Reports = append(into.Reports, got.res.GetReports()...)
-		into.Failures = append(into.Failures, got.res.GetFailures()...)
+		into.Reports = append(into.Reports, result.res.GetReports()...)
+		into.Failures = append(into.Failures, result.res.GetFailures()...)
 	}
 	select {
-	case got := <-r.out:
-		take(got)
+	case result := <-r.results:
+		take(result)
 	case <-ctx.Done():
 		return 0, ctx.Err()
 	}
 	for {
 		select {
-		case got := <-r.out:
-			take(got)
+		case result := <-r.results:
+			take(result)
 		default:
 			return ended, nil
 		}
 	}
 }
 
-// run carries out the order of the agent's own rank.
+// run executes the order for this agent's rank.
 func (r *relay) run(ctx context.Context) {
-	defer func() { emit(ctx, r.out, relayed{ended: true}) }()
-	own := burdockid.Rank(r.req.GetOrders()[0].GetTo())
-	report, err := r.own(ctx)
+	defer func() { sendResult(ctx, r.results, branchResult{ended: true}) }()
+	rank := burdockid.Rank(r.req.GetOrders()[0].GetTo())
+	report, err := r.executeOwn(ctx)
 	if err != nil {
-		emit(ctx, r.out, relayed{res: failure(own, err)})
+		sendResult(ctx, r.results, branchResult{res: relayFailure(rank, err)})
 		return
 	}
-	emit(ctx, r.out, relayed{res: &burdockwire.GroupRelayResponse{Reports: []*burdockwire.GroupReport{report}}})
+	sendResult(ctx, r.results, branchResult{res: &burdockwire.GroupRelayResponse{Reports: []*burdockwire.GroupReport{report}}})
 }
 
-func (r *relay) own(ctx context.Context) (*burdockwire.GroupReport, error) {
-	content, err := r.member.wholeContent(r.req)
+func (r *relay) executeOwn(ctx context.Context) (*burdockwire.GroupReport, error) {
+	content, err := r.member.fullContent(r.req)
 	if err != nil {
-		r.member.deps.Log.Info("a map can't be made of what is known; it has to be sent whole",
+		r.member.deps.Log.Info("map difference can't be applied; the full map is needed",
 			zap.Uint64("map", r.req.GetMap()), zap.Uint64("base", r.req.GetBase()), zap.Error(err))
 		return nil, err
 	}
-	to := r.req.GetOrders()[0]
-	return r.member.carryOut(ctx, &burdockwire.GroupOrder{
-		Group: r.req.GetGroup(), Controller: r.req.GetController(), Fence: r.req.GetFence(), Seq: to.GetSeq(), To: to.GetTo(),
-		Incarnation: to.GetIncarnation(), Kind: r.req.GetKind(), Map: r.req.GetMap(), At: r.req.GetAt(), Content: content,
+	order := r.req.GetOrders()[0]
+	return r.member.executeOrder(ctx, &burdockwire.GroupOrder{
+		Group: r.req.GetGroup(), Controller: r.req.GetController(), Fence: r.req.GetFence(), Seq: order.GetSeq(), To: order.GetTo(),
+		Incarnation: order.GetIncarnation(), Kind: r.req.GetKind(), Map: r.req.GetMap(), At: r.req.GetAt(), Content: content,
 	})
 }
 
-// carryOut gives the rank an order as it came from a peer, and returns its report.
-func (m *member) carryOut(ctx context.Context, msg *burdockwire.GroupOrder) (*burdockwire.GroupReport, error) {
+// executeOrder passes an order received from a peer to the rank and returns the rank's
+// report.
+func (m *member) executeOrder(ctx context.Context, msg *burdockwire.GroupOrder) (*burdockwire.GroupReport, error) {
 	order, err := orderFromWire(msg)
 	if err != nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, err)
 	}
-	m.asking.heardFrom(order.Number.Fence, msg.GetController())
-	ctx, cancel := context.WithTimeout(ctx, mostOrderWait)
+	m.queries.noteController(order.Number.Fence, msg.GetController())
+	ctx, cancel := context.WithTimeout(ctx, maxOrderWait)
 	defer cancel()
 	report, err := m.order(ctx, order)
 	if err != nil {
 		return nil, connect.NewError(connect.CodeDeadlineExceeded, err)
 	}
 	res := reportToWire(report)
-	res.Speed = float64(m.speed())
+	res.Speed = float64(m.engineSpeed())
 	return res, nil
 }
 
-// wholeContent returns the content that a load brings, which may be told by its
-// difference from a map that this agent has.
-func (m *member) wholeContent(req *burdockwire.GroupRelayRequest) ([]byte, error) {
+// fullContent returns the map content of a load order, which may contain only the
+// difference from a map that this agent stores.
+func (m *member) fullContent(req *burdockwire.GroupRelayRequest) ([]byte, error) {
 	if req.GetBase() == 0 {
 		return req.GetContent(), nil
 	}
-	known := m.content(burdockid.MapVersion(req.GetBase()))
-	if known == nil {
+	content := m.content(burdockid.MapVersion(req.GetBase()))
+	if content == nil {
 		return nil, ErrMalformed.New("map %d is not known", req.GetBase())
 	}
-	base, err := burdockexpert.Decode(known)
+	base, err := burdockexpert.Decode(content)
 	if err != nil {
 		return nil, err
 	}
-	whole, err := base.Apply(req.GetContent(), req.GetDigest())
+	full, err := base.Apply(req.GetContent(), req.GetDigest())
 	if err != nil {
 		return nil, err
 	}
-	return whole.Encode()
+	return full.Encode()
 }
 
-// withoutOrders returns what the orders of a branch have in common.
-func withoutOrders(req *burdockwire.GroupRelayRequest) *burdockwire.GroupRelayRequest {
+// commonFields returns the request without its orders.
+func commonFields(req *burdockwire.GroupRelayRequest) *burdockwire.GroupRelayRequest {
 	return &burdockwire.GroupRelayRequest{
 		Group: req.GetGroup(), Fence: req.GetFence(), Kind: req.GetKind(), Map: req.GetMap(), At: req.GetAt(),
 		Content: req.GetContent(), Base: req.GetBase(), Digest: req.GetDigest(), Degree: req.GetDegree(),
--- a/internal/serve/burdockrank/relay_test.go
+++ b/internal/serve/burdockrank/relay_test.go
@@ -23,7 +23,7 @@
 	"go.uber.org/zap"
 )
 
-// idleEngine is an engine that takes every order and runs no step.
+// idleEngine is an engine that accepts every order and runs no step.
 type idleEngine struct{ loaded burdockid.MapVersion }
 
 func (e *idleEngine) Order(_ context.Context, _ burdockid.Fence, order burdockgroup.EngineOrder) (burdockgroup.EngineStatus, error) {
@@ -41,11 +41,11 @@
 	return burdockengine.GroupCounts{}, nil
 }
 
-// relayGroup is the agents of a group, each at a server of its own.
+// relayGroup holds the agents of a group, each behind its own server.
 type relayGroup struct {
 	members []*member
 	servers []*httptest.Server
-	dead    map[burdockid.Rank]string // what becomes of an agent's calls
+	dead    map[burdockid.Rank]string // how an agent fails: "killed" or "frozen"
 }
 
 // Agent implements Directory.
@@ -89,14 +89,14 @@
 	return g
 }
 
-// faulty answers as what has become of an agent says.
+// faulty wraps an agent's handler so that it fails as g.dead says.
 func (g *relayGroup) faulty(rank burdockid.Rank, h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch g.dead[rank] {
 		case "killed":
 			panic(http.ErrAbortHandler)
 		case "frozen":
-			// Its caller's leaving is seen once all has been read.
+			// The server notices that the caller has gone only after the body was read.
 			_, _ = io.Copy(io.Discard, r.Body)
 			<-r.Context().Done()
 			return
@@ -105,8 +105,8 @@
 	})
 }
 
-// send gives all ranks but the first an order through branches, and returns the
-// reports and failures by rank.
+// send sends all ranks but the first an order through branches, and returns the reports
+// and failures by rank.
 func (g *relayGroup) send(t *testing.T, common *burdockwire.GroupRelayRequest) (map[burdockid.Rank]*burdockwire.GroupReport, map[burdockid.Rank]string) {
 	t.Helper()
 	common.Group, common.Degree = "g", 3
@@ -120,15 +120,15 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	out := make(chan relayed, len(orders))
-	parts := parted(orders, int(common.Degree))
+	results := make(chan branchResult, len(orders))
+	parts := partition(orders, int(common.Degree))
 	for _, part := range parts {
-		go branch{member: g.members[0], common: common, orders: part, out: out}.run(ctx)
+		go branch{member: g.members[0], common: common, orders: part, results: results}.run(ctx)
 	}
 	reports, failures := map[burdockid.Rank]*burdockwire.GroupReport{}, map[burdockid.Rank]string{}
-	for working := len(parts); working > 0; {
+	for active := len(parts); active > 0; {
 		select {
-		case got := <-out:
+		case got := <-results:
 			for _, report := range got.res.GetReports() {
 				reports[burdockid.Rank(report.GetFrom())] = report
 			}
@@ -136,7 +136,7 @@
 				failures[burdockid.Rank(failed.GetRank())] = failed.GetReason()
 			}
 			if got.ended {
-				working--
+				active--
 			}
 		case <-ctx.Done():
 			t.Fatal("the branches did not end")
@@ -145,14 +145,13 @@
 	return reports, failures
 }
 
-// A large group stands while an order is missing at one rank. The controller sends
-// a round through other agents, some of which have been killed or are frozen; every
-// other rank has to have its order all the same, and the controller has to learn
-// which ones have not.
-func TestRoundGoesAroundDeadAgents(t *testing.T) {
+// A large group is stalled while one rank lacks its order. A round is relayed by agents
+// some of which are killed or frozen. Every other rank must still get its order, and the
+// controller must learn which ranks did not.
+func TestRelayBypassesDeadAgents(t *testing.T) {
 	g := newRelayGroup(t, 40)
-	for rank, how := range map[burdockid.Rank]string{1: "killed", 2: "killed", 5: "killed", 14: "frozen", 20: "killed", 27: "frozen", 39: "killed"} {
-		g.dead[rank] = how
+	for rank, fault := range map[burdockid.Rank]string{1: "killed", 2: "killed", 5: "killed", 14: "frozen", 20: "killed", 27: "frozen", 39: "killed"} {
+		g.dead[rank] = fault
 	}
 	reports, failures := g.send(t, &burdockwire.GroupRelayRequest{Fence: 2, Kind: burdockwire.GroupOrderKind_GROUP_ORDER_KIND_READ, PatienceMillis: 400})
 	for rank := burdockid.Rank(1); rank < 40; rank++ {
@@ -164,9 +163,9 @@
 	}
 }
 
-// A controller that lost its lease sends a round through the agents. Each rank has
-// heard of its successor and refuses, as if the order had come straight.
-func TestRoundOfAnOldLeaseIsRefused(t *testing.T) {
+// A controller that lost its lease sends a round through relays. Each rank knows the
+// fence of its successor and refuses the order, as it would refuse a direct one.
+func TestRelayedOrderWithOldFenceIsRefused(t *testing.T) {
 	g := newRelayGroup(t, 10)
 	g.send(t, &burdockwire.GroupRelayRequest{Fence: 7, Kind: burdockwire.GroupOrderKind_GROUP_ORDER_KIND_READ})
 	reports, _ := g.send(t, &burdockwire.GroupRelayRequest{Fence: 6, Kind: burdockwire.GroupOrderKind_GROUP_ORDER_KIND_ARM, Map: 9, At: 12})
@@ -177,10 +176,10 @@
 	}
 }
 
-// The next map goes as its difference from the map in use. One agent has just
-// started and has not been given that one: it must not load what it can't know, and
-// the controller has to learn that it needs the whole.
-func TestDifferenceIsLoadedWhereItsBaseIsKnown(t *testing.T) {
+// The next map is sent as its difference from the map in use. One agent has just started
+// and doesn't know the map in use. It must not load a map that it can't reconstruct, and
+// the controller must learn that it needs the full map.
+func TestMapDifferenceNeedsKnownBase(t *testing.T) {
 	g := newRelayGroup(t, 12)
 	shape := burdockexpert.Shape{Layers: 2, Ranks: 12, Experts: 30}
 	base, next := burdockexpert.NewMap(shape), burdockexpert.NewMap(shape)
@@ -198,11 +197,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	const stranger = 4
+	const withoutBase = 4
 	for rank, m := range g.members {
-		if rank != stranger {
+		if rank != withoutBase {
 			m.mu.Lock()
-			m.remember(burdockgroup.Load{Map: 50, Content: content})
+			m.storeContent(burdockgroup.Load{Map: 50, Content: content})
 			m.mu.Unlock()
 		}
 	}
@@ -211,9 +210,9 @@
 		Fence: 3, Kind: burdockwire.GroupOrderKind_GROUP_ORDER_KIND_LOAD, Map: 51, Content: difference, Base: 50, Digest: next.Digest(),
 	})
 	for rank := burdockid.Rank(1); rank < 12; rank++ {
-		if rank == stranger {
+		if rank == withoutBase {
 			if failures[rank] == "" || g.members[rank].content(51) != nil {
-				t.Errorf("rank %d: got no failure, or a map that it can't know", rank)
+				t.Errorf("rank %d: got no failure, or a map that it can't reconstruct", rank)
 			}
 			continue
 		}
@@ -226,7 +225,7 @@
 	}
 }
 
-func TestMalformedRoundIsRefused(t *testing.T) {
+func TestMalformedRelayIsRefused(t *testing.T) {
 	g := newRelayGroup(t, 3)
 	order := func(to ...int32) []*burdockwire.GroupRelayOrder {
 		var list []*burdockwire.GroupRelayOrder
@@ -261,24 +260,24 @@
 	}
 }
 
-// The controller's bytes for one change of the map, by the size of the group: the
-// rounds to load, stop, commit and go on, through the tree that the link asks for.
-// Whole maps to each agent would be 1.6 MB with 192 ranks, which a link of 6 Mbit/s
-// carries in two seconds while the answers of the engine beside it wait.
-func TestChangeTakesFewOfTheControllersBytes(t *testing.T) {
-	for _, test := range []struct{ ranks, difference, most int }{
+// The controller's traffic for one map change, by the size of the group: the rounds to
+// load, hold, commit and release, through the tree that the link calls for. Whole maps to
+// each agent would be 1.6 MB with 192 ranks. A link of 6 Mbit/s needs two seconds for
+// that, while the responses of the engine on the same VM wait.
+func TestControllerTrafficOfAMapChange(t *testing.T) {
+	for _, test := range []struct{ ranks, difference, maxBytes int }{
 		{16, 100, 64 << 10}, {72, 450, 64 << 10}, {192, 1100, 64 << 10}, {512, 3000, 160 << 10},
 	} {
 		m := &member{deps: Deps{Tuning: Tuning{LinkBytesPerMilli: 750}}}
 		bytes := 0.0
 		for _, content := range []int{test.difference, 0, 0, 0} {
-			cost := m.orderCost(content)
+			cost := m.relayCost(content)
 			n := test.ranks - 1
 			branches := cost.branches(n)
 			bytes += float64(min(branches, n))*cost.message + float64(n)*cost.order
 		}
-		if bytes > float64(test.most) {
-			t.Errorf("%d ranks: got %.0f bytes, want %d at most", test.ranks, bytes, test.most)
+		if bytes > float64(test.maxBytes) {
+			t.Errorf("%d ranks: got %.0f bytes, want at most %d", test.ranks, bytes, test.maxBytes)
 		}
 	}
 }
@@ -297,43 +296,43 @@
 func reached(n, branches int) int {
 	list := make([]int, n)
 	total := 0
-	for _, part := range parted(list, branches) {
+	for _, part := range partition(list, branches) {
 		total += 1 + reached(len(part)-1, branches)
 	}
 	return total
 }
 
-// A round through the tree that is chosen takes no longer than a call to each agent,
-// and with hundreds of agents a small part of it; a few agents are called straight.
-func TestTreeIsFasterThanCallsToEach(t *testing.T) {
+// A round through the chosen tree takes no longer than direct calls, and only a fraction
+// of their time with hundreds of agents. Few agents are called directly.
+func TestTreeIsFasterThanDirectCalls(t *testing.T) {
 	for _, test := range []struct {
-		n    int
-		part float64 // of the time of calls to each, at most
+		n     int
+		ratio float64 // maximum fraction of the time of direct calls
 	}{{2, 1}, {15, 1}, {71, 0.6}, {191, 0.35}, {511, 0.25}} {
-		cost := (&member{deps: Deps{Tuning: Tuning{LinkBytesPerMilli: 750}}}).orderCost(1000)
+		cost := (&member{deps: Deps{Tuning: Tuning{LinkBytesPerMilli: 750}}}).relayCost(1000)
 		branches := cost.branches(test.n)
-		if got, most := cost.round(test.n, branches), test.part*cost.round(test.n, test.n); got > most {
-			t.Errorf("%d agents in %d branches: got %.0f ms, want %.0f ms at most", test.n, branches, got, most)
+		if got, limit := cost.roundTime(test.n, branches), test.ratio*cost.roundTime(test.n, test.n); got > limit {
+			t.Errorf("%d agents in %d branches: got %.0f ms, want at most %.0f ms", test.n, branches, got, limit)
 		}
 	}
-	unknown := (&member{}).orderCost(1000)
+	unknown := (&member{}).relayCost(1000)
 	if got, want := unknown.branches(191), 191; got != want {
-		t.Errorf("without a known link: got %d branches, want %d, a call to each", got, want)
+		t.Errorf("without a known link: got %d branches, want %d, direct calls", got, want)
 	}
 }
 
-// BenchmarkRound shows the time that the cost model gives a round, in milliseconds,
-// by calls to each agent and through the tree.
+// BenchmarkRound reports the time of a round in the cost model, in milliseconds, for
+// direct calls and through the tree.
 func BenchmarkRound(b *testing.B) {
 	for _, n := range []int{16, 72, 192, 512} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			cost := (&member{deps: Deps{Tuning: Tuning{LinkBytesPerMilli: 750}}}).orderCost(1000)
+			cost := (&member{deps: Deps{Tuning: Tuning{LinkBytesPerMilli: 750}}}).relayCost(1000)
 			branches := 0
 			for b.Loop() {
 				branches = cost.branches(n - 1)
 			}
-			b.ReportMetric(cost.round(n-1, n-1), "each-ms")
-			b.ReportMetric(cost.round(n-1, branches), "tree-ms")
+			b.ReportMetric(cost.roundTime(n-1, n-1), "each-ms")
+			b.ReportMetric(cost.roundTime(n-1, branches), "tree-ms")
 		})
 	}
 }
--- a/internal/serve/burdockrank/service.go
+++ b/internal/serve/burdockrank/service.go
@@ -10,10 +10,10 @@
 	"connectrpc.com/connect"
 )
 
-// mostOrderWait bounds how long an order waits for a hung engine.
-const mostOrderWait = 2 * time.Second
+// maxOrderWait bounds how long an order waits for an engine that doesn't answer.
+const maxOrderWait = 2 * time.Second
 
-func (h *Host) find(group string) (*member, error) {
+func (h *Host) memberFor(group string) (*member, error) {
 	if m := h.memberOf(group); m != nil {
 		return m, nil
 	}
@@ -22,11 +22,11 @@
 
 // Order implements burdockwire.GroupServiceHandler.
 func (h *Host) Order(ctx context.Context, req *connect.Request[burdockwire.GroupOrder]) (*connect.Response[burdockwire.GroupReport], error) {
-	m, err := h.find(req.Msg.GetGroup())
+	m, err := h.memberFor(req.Msg.GetGroup())
 	if err != nil {
 		return nil, err
 	}
-	report, err := m.carryOut(ctx, req.Msg)
+	report, err := m.executeOrder(ctx, req.Msg)
 	if err != nil {
 		return nil, err
 	}
@@ -35,31 +35,31 @@
 
 // AskFence implements burdockwire.GroupServiceHandler.
 func (h *Host) AskFence(_ context.Context, req *connect.Request[burdockwire.AskFenceRequest]) (*connect.Response[burdockwire.AskFenceResponse], error) {
-	m, err := h.find(req.Msg.GetGroup())
+	m, err := h.memberFor(req.Msg.GetGroup())
 	if err != nil {
 		return nil, err
 	}
-	told := m.tellFence(burdockid.Rank(req.Msg.GetFrom()))
-	return connect.NewResponse(&burdockwire.AskFenceResponse{Fence: uint64(told.Fence), Known: told.Known}), nil
+	answer := m.answerFence(burdockid.Rank(req.Msg.GetFrom()))
+	return connect.NewResponse(&burdockwire.AskFenceResponse{Fence: uint64(answer.Fence), Known: answer.Known}), nil
 }
 
 // SayWaiting implements burdockwire.GroupServiceHandler.
 func (h *Host) SayWaiting(_ context.Context, req *connect.Request[burdockwire.SayWaitingRequest]) (*connect.Response[burdockwire.SayWaitingResponse], error) {
-	m, err := h.find(req.Msg.GetGroup())
+	m, err := h.memberFor(req.Msg.GetGroup())
 	if err != nil {
 		return nil, err
 	}
-	m.duty.handle(burdockgroup.RankWaiting{From: burdockid.Rank(req.Msg.GetFrom())})
+	m.leadership.handle(burdockgroup.RankWaiting{From: burdockid.Rank(req.Msg.GetFrom())})
 	return connect.NewResponse(&burdockwire.SayWaitingResponse{}), nil
 }
 
 // Held implements burdockwire.GroupServiceHandler.
 func (h *Host) Held(ctx context.Context, req *connect.Request[burdockwire.GroupHeldRequest]) (*connect.Response[burdockwire.GroupHeldResponse], error) {
-	m, err := h.find(req.Msg.GetGroup())
+	m, err := h.memberFor(req.Msg.GetGroup())
 	if err != nil {
 		return nil, err
 	}
-	version, experts, err := m.held(ctx)
+	version, experts, err := m.residentExperts(ctx)
 	if err != nil {
 		return nil, connect.NewError(connect.CodeUnavailable, err)
 	}
@@ -68,7 +68,7 @@
 
 // Counts implements burdockwire.GroupServiceHandler.
 func (h *Host) Counts(ctx context.Context, req *connect.Request[burdockwire.GroupCountsRequest]) (*connect.Response[burdockwire.GroupCountsResponse], error) {
-	m, err := h.find(req.Msg.GetGroup())
+	m, err := h.memberFor(req.Msg.GetGroup())
 	if err != nil {
 		return nil, err
 	}
@@ -76,8 +76,8 @@
 	if err != nil {
 		return nil, connect.NewError(connect.CodeUnavailable, err)
 	}
-	told, telling, difference := m.tellings.tell(counts, req.Msg.GetSince())
-	msg := countsToWire(told)
-	msg.Telling, msg.Difference = telling, difference
+	reported, reportID, difference := m.countsReporter.report(counts, req.Msg.GetSince())
+	msg := countsToWire(reported)
+	msg.Telling, msg.Difference = reportID, difference
 	return connect.NewResponse(msg), nil
 }
--- a/internal/serve/burdockrank/size_test.go
+++ b/internal/serve/burdockrank/size_test.go
@@ -11,10 +11,10 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The sizes that docs/design/mapchange.md gives, for 32 ranks and 60 layers of
-// 128 experts, six to a rank, with 48-bit versions, steps of a month and counts
-// of billions.
-func TestSizesAtTheTarget(t *testing.T) {
+// The message sizes that docs/design/mapchange.md states, for 32 ranks and 60 layers of
+// 128 experts with six slots per rank and layer, 48-bit versions, steps of a month and
+// counts of billions.
+func TestMessageSizes(t *testing.T) {
 	const ranks, layers, experts, slots = 32, 60, 128, 6
 	const version, at, fence, seq = 1 << 47, 600_000_000, 1 << 31, 100_000
 	popularity := burdockexpert.NewPopularity(layers, experts, popularityHalfLife)
@@ -47,9 +47,9 @@
 		Kept: []burdockid.MapVersion{version, version + 1},
 	})
 	tests := []struct {
-		name string
-		msg  proto.Message
-		most int
+		name  string
+		msg   proto.Message
+		limit int
 	}{
 		{"read", order(burdockgroup.Read{}), 64},
 		{"commit", order(burdockgroup.Commit{Map: version, At: at}), 80},
@@ -60,8 +60,8 @@
 	for _, test := range tests {
 		got := proto.Size(test.msg)
 		t.Logf("%s: %d bytes", test.name, got)
-		if got > test.most {
-			t.Errorf("%s: got %d bytes, want at most %d", test.name, got, test.most)
+		if got > test.limit {
+			t.Errorf("%s: got %d bytes, want at most %d", test.name, got, test.limit)
 		}
 	}
 }
--- a/internal/serve/burdockrank/speeds.go
+++ b/internal/serve/burdockrank/speeds.go
@@ -6,12 +6,11 @@
 	"burdockbend.example/burdockbend/internal/external/burdockengine"
 )
 
-// speeds is how fast the engines of a group are, by rank, as their agents told
-// with their latest answers.
+// speeds holds the speed of each rank's engine, by rank, as its agent last reported it.
 //
-// Failure: an engine turns slow for seconds. Symptom: each pass of the group
-// waits for that rank's experts, so that every stream is late. The planner gives
-// such a rank what its speed carries.
+// An engine can turn slow for seconds. Each step of the group then waits for the experts
+// of that rank, and every stream is late. The planner gives such a rank only as much load
+// as its speed allows.
 type speeds []burdockspeed.Speed
 
 func newSpeeds(ranks int) speeds {
@@ -22,13 +21,13 @@
 	return s
 }
 
-// heard takes in what an agent told, 0 if it doesn't know. It reports whether
-// that changes what should be planned.
-func (s speeds) heard(rank burdockid.Rank, told burdockspeed.Speed) bool {
-	if told == 0 || rank < 0 || int(rank) >= len(s) {
+// update records a reported speed; 0 means that the agent doesn't know it. It returns
+// whether the change matters for planning.
+func (s speeds) update(rank burdockid.Rank, reported burdockspeed.Speed) bool {
+	if reported == 0 || rank < 0 || int(rank) >= len(s) {
 		return false
 	}
-	speed, _ := burdockspeed.FromSlowdown(1 / float64(told))
+	speed, _ := burdockspeed.FromSlowdown(1 / float64(reported))
 	if !burdockspeed.SignificantChange(s[rank], speed) {
 		return false
 	}
@@ -36,10 +35,10 @@
 	return true
 }
 
-// speed returns the speed of the engine beside this agent, 0 if it doesn't tell.
-func (m *member) speed() burdockspeed.Speed {
-	if teller, ok := m.deps.Engine.(burdockengine.SpeedTeller); ok {
-		return teller.Speed()
+// engineSpeed returns the speed of this agent's engine, or 0 if it isn't known.
+func (m *member) engineSpeed() burdockspeed.Speed {
+	if reporter, ok := m.deps.Engine.(burdockengine.SpeedTeller); ok {
+		return reporter.Speed()
 	}
 	return 0
 }
--- a/internal/serve/burdockrank/speeds_test.go
+++ b/internal/serve/burdockrank/speeds_test.go
@@ -14,14 +14,14 @@
 	"go.uber.org/zap"
 )
 
-func TestSpeedsHeard(t *testing.T) {
+func TestSpeedUpdates(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		told    burdockspeed.Speed
+		speed   burdockspeed.Speed
 		want    burdockspeed.Speed
 		changed bool
 	}{
-		{"not told", 0, 1, false},
+		{"not reported", 0, 1, false},
 		{"usual", 1, 1, false},
 		{"a little slower", 0.97, 1, false},
 		{"slow", 0.25, 0.25, true},
@@ -30,49 +30,49 @@
 		{"no number", burdockspeed.Speed(math.NaN()), 1, false},
 	} {
 		s := newSpeeds(2)
-		if got := s.heard(1, c.told); got != c.changed || s[1] != c.want || s[0] != 1 {
+		if got := s.update(1, c.speed); got != c.changed || s[1] != c.want || s[0] != 1 {
 			t.Errorf("%s: got changed %t and speeds %v, want %t and [1 %v]", c.name, got, s, c.changed, c.want)
 		}
 	}
-	if newSpeeds(2).heard(7, 0.5) {
-		t.Error("a rank that the group has not: got a change")
+	if newSpeeds(2).update(7, 0.5) {
+		t.Error("rank outside the group: got a change")
 	}
 }
 
-// One of eight engines turns 2.8 times as slow. Every pass waits for the experts
-// that it holds, so that callers see pauses of twice the length. The planner hears
-// of it and the next map gives the rank what its speed carries.
+// One of eight engines turns 2.8 times as slow. Every step waits for its experts, so that
+// the pauses in streams are twice as long. The planner learns the speed, and the next map
+// gives the rank a matching load.
 func TestPlannerRelievesASlowRank(t *testing.T) {
 	const ranks, experts, slots = 8, 16, 4
-	m := &member{seat: Assignment{Group: "g", Ranks: ranks}, deps: Deps{Log: zap.NewNop()}}
-	p := newPlanning(&duty{member: m})
+	m := &member{assignment: Assignment{Group: "g", Ranks: ranks}, deps: Deps{Log: zap.NewNop()}}
+	p := newPlanning(&leadership{member: m})
 	tokens := make([]burdockid.Tokens, experts)
 	for e := range tokens {
 		tokens[e] = 10_000
 	}
-	p.shape(burdockengine.GroupCounts{Tokens: [][]burdockid.Tokens{tokens}})
+	p.resetOnNewShape(burdockengine.GroupCounts{Tokens: [][]burdockid.Tokens{tokens}})
 	for at := range 6 {
 		p.popularity.Observe(1000*burdockclock.Millis(at), 0, tokens)
 	}
 	for r := range p.counts {
 		p.counts[r] = burdockengine.GroupCounts{Tokens: [][]burdockid.Tokens{tokens}, Slots: slots, ExpertBytes: 1, StoreRate: 1000}
 	}
-	p.heardSpeed(3, 1/2.8)
+	p.updateSpeed(3, 1/2.8)
 	if !p.newSpeed {
-		t.Fatal("the planner is not asked for a rank that turned slow")
+		t.Fatal("a rank that turned slow does not trigger the planner")
 	}
 	in := p.input(burdockgroup.ControllerState{}, burdockprofile.Experts{SkewWeight: 1, CostWeight: 0.1, HoldMillis: 60_000})
-	present := burdockexpert.NewMap(burdockexpert.Shape{Layers: 1, Ranks: ranks, Experts: experts})
+	current := burdockexpert.NewMap(burdockexpert.Shape{Layers: 1, Ranks: ranks, Experts: experts})
 	for e := range experts {
-		present.Add(0, burdockid.Rank(e%ranks), burdockid.Expert(e))
+		current.Add(0, burdockid.Rank(e%ranks), burdockid.Expert(e))
 	}
-	in.Current = present
+	in.Current = current
 	move, ok := burdockexpert.New(burdockexpert.Config{}).Plan(10_000, in).(burdockexpert.Move)
 	if !ok {
 		t.Fatal("no other map is wanted")
 	}
-	before, after := burdockexpert.Imbalance(present, in.Popularity, in.Ranks)[0], burdockexpert.Imbalance(move.Map, in.Popularity, in.Ranks)[0]
+	before, after := burdockexpert.Imbalance(current, in.Popularity, in.Ranks)[0], burdockexpert.Imbalance(move.Map, in.Popularity, in.Ranks)[0]
 	if before < 2 || after > 1.2 {
-		t.Errorf("slowest rank against an even spread by speeds: got %.2f after %.2f, want at most 1.2 after 2 or more", after, before)
+		t.Errorf("imbalance weighted by speed: got %.2f after %.2f, want at most 1.2 after 2 or more", after, before)
 	}
 }
--- a/internal/serve/burdockrank/tree.go
+++ b/internal/serve/burdockrank/tree.go
@@ -2,33 +2,32 @@
 
 import "math"
 
-// treeCost is what sending orders to many agents costs, in milliseconds and
-// bytes.
+// treeCost is a cost model for sending orders to many agents, in milliseconds and bytes.
 type treeCost struct {
-	bytesPerMilli float64 // that a VM's link carries; 0 if it is not known
+	bytesPerMilli float64 // bandwidth of a VM's link; 0 if not known
 	message       float64 // bytes of a call without its orders
-	order         float64 // bytes of one order within
-	call          float64 // milliseconds of processor that a call takes its sender
-	hop           float64 // milliseconds until the receiver sends on
+	order         float64 // bytes of one order in a call
+	call          float64 // CPU milliseconds of a call at its sender
+	hop           float64 // milliseconds until the receiver starts to relay
 }
 
 const (
-	// callBytes is the head of a call and its answer's, and orderBytes an order
-	// with the address of its rank's agent.
+	// callBytes is the size of the headers of a call and its response. orderBytes is the
+	// size of an order with the address of its rank's agent.
 	callBytes  = 420
 	orderBytes = 50
-	// callMillis is what sending a call takes of a small VM, and hopMillis the way
-	// and the start of a relay.
+	// callMillis is the CPU time of sending a call on a small VM. hopMillis is the
+	// network latency plus the time until a relay starts to send.
 	callMillis = 0.5
 	hopMillis  = 4
-	// starWorth is how much longer orders to each agent itself may take than a
-	// tree that is only a little faster: the fewer hands, the fewer that can fail.
-	starWorth = 1.5
+	// starTolerance is how many times as long as the fastest tree a call to each agent
+	// may take and still be preferred: with fewer relays, fewer can fail.
+	starTolerance = 1.5
 )
 
-// round returns the time until the last of n agents has its order when each
-// sender parts those that it is given into a number of branches.
-func (c treeCost) round(n, branches int) float64 {
+// roundTime returns the time until the last of n agents has its order, if each sender
+// splits its orders into the given number of branches.
+func (c treeCost) roundTime(n, branches int) float64 {
 	total := 0.0
 	for n > 0 {
 		parts := min(branches, n)
@@ -38,31 +37,31 @@
 	return total
 }
 
-// branches returns into how many branches n agents are best parted; n stands for
-// a call to each.
+// branches returns into how many branches to split a round of orders to n agents; n
+// branches mean a call to each agent.
 //
-// Load: a round of orders to each agent of a group. Harm prevented: sent by the
-// controller alone, rounds to hundreds of agents take longer than the steps that
-// the change waits for, and fill the link which the answers of the engine on the
-// same VM share.
+// If the controller alone sent a round to hundreds of agents, it would take longer than
+// the steps that the change waits for. It would also fill the link, which the responses
+// of the engine on the same VM share.
 func (c treeCost) branches(n int) int {
 	if c.bytesPerMilli <= 0 || n < 2 {
 		return n
 	}
-	best, least := n, math.Inf(1)
+	best, minTime := n, math.Inf(1)
 	for branches := 2; branches <= n; branches++ {
-		if took := c.round(n, branches); took < least {
-			best, least = branches, took
+		if duration := c.roundTime(n, branches); duration < minTime {
+			best, minTime = branches, duration
 		}
 	}
-	if c.round(n, n) <= starWorth*least {
+	if c.roundTime(n, n) <= starTolerance*minTime {
 		return n
 	}
 	return best
 }
 
-// parted returns a list in as many parts of nearly one length, in order.
-func parted[T any](list []T, parts int) [][]T {
+// partition splits a list into the given number of parts of nearly equal length, in
+// order.
+func partition[T any](list []T, parts int) [][]T {
 	parts = min(parts, len(list))
 	out := make([][]T, 0, parts)
 	for i := range parts {
--- a/internal/serve/burdockrank/wire.go
+++ b/internal/serve/burdockrank/wire.go
@@ -12,13 +12,14 @@
 // Errors is the namespace of the errors of messages between agents.
 var Errors = errorx.NewNamespace("rank")
 
-// ErrNotMember says that an agent is not in the group that it was asked about.
+// ErrNotMember reports that an agent isn't in the requested group, or that a rank has no
+// known agent.
 var ErrNotMember = Errors.NewType("notMember")
 
-// ErrLeaseLapsed says that an order was not sent because the lease has lapsed.
+// ErrLeaseLapsed reports that an order was not sent because the lease has expired.
 var ErrLeaseLapsed = Errors.NewType("lapsed")
 
-// ErrMalformed says that a message is none that a sound peer sends.
+// ErrMalformed reports a message that no correct peer sends.
 var ErrMalformed = Errors.NewType("malformed")
 
 func orderToWire(group string, o burdockgroup.Order) *burdockwire.GroupOrder {
@@ -75,8 +76,7 @@
 	case burdockwire.GroupOrderKind_GROUP_ORDER_KIND_BEGIN:
 		o.Body = burdockgroup.Begin{Map: version}
 	default:
-		// A kind that this version doesn't know must not pass for a read, which
-		// would void orders.
+		// An unknown kind must not be taken for a read, which voids earlier orders.
 		return o, ErrMalformed.New("order of kind %d", msg.GetKind())
 	}
 	return o, nil
@@ -112,7 +112,8 @@
 	}
 	if r.Refusal == burdockgroup.RefusalNone {
 		if msg.GetStatus() == nil {
-			// Taken for an empty engine it would have a group go back.
+			// A missing status would look like that of an empty engine, and the group
+			// would undo a change.
 			return r, ErrMalformed.New("report without a status or a refusal")
 		}
 		r.Status = statusFromWire(msg.GetStatus())
--- a/internal/serve/burdockrank/wire_test.go
+++ b/internal/serve/burdockrank/wire_test.go
@@ -46,10 +46,10 @@
 	}
 }
 
-// A message that says too little is refused. Taken as it is, an order of a kind
-// that this version lacks would be a read, which voids orders, and a report
-// without a status would be that of an empty engine, which undoes a change.
-func TestMessagesThatSayTooLittleAreRefused(t *testing.T) {
+// Incomplete messages are refused. An order of an unknown kind would be taken for a read,
+// which voids earlier orders. A report without a status would look like that of an empty
+// engine, and the group would undo a change.
+func TestIncompleteMessagesAreRefused(t *testing.T) {
 	if got, err := orderFromWire(&burdockwire.GroupOrder{Kind: 99}); err == nil {
 		t.Errorf("order of an unknown kind: got %+v, want an error", got)
 	}
@@ -58,8 +58,8 @@
 	}
 }
 
-// A group's engines can load two new experts of a layer for one map. A controller
-// that is not told so plans three, and a rank refuses the map.
+// MaxLoads must reach the controller: if engines can load only two new experts of a layer
+// for one map, a controller that doesn't know it plans three, and a rank refuses the map.
 func TestCountsPassTheWireUnchanged(t *testing.T) {
 	want := burdockengine.GroupCounts{
 		Life: "run", Tokens: [][]burdockid.Tokens{{1, 2}, {3, 4}}, Slots: 5, MaxLoads: 2,
