--- a/internal/serve/burdockagent/agent.go
+++ b/internal/serve/burdockagent/agent.go
@@ -1,5 +1,7 @@
-// Package burdockagent is the process beside one upstream and the only way to
-// it: it admits, queues, refuses, runs, resumes and cancels requests.
+// Package burdockagent implements the agent, the process beside each upstream through
+// which all its requests pass. The agent admits, queues, refuses, runs, resumes and
+// cancels requests. It also enforces that a request with an idempotency key runs at
+// most once.
 package burdockagent
 
 import (
@@ -19,36 +21,36 @@
 )
 
 const (
-	// tick is how often the agent looks at what depends on time alone.
-	tick = 100 * time.Millisecond
-	// heartbeatEvery is how long a stream may be without an event. An entry
-	// takes a stream for silent after four of them.
-	heartbeatEvery = 500 * time.Millisecond
-	// orphanGrace is how long a request goes on without anybody who reads its
-	// answer. It covers the time in which an entry finds that a connection is
-	// silent, opens another and attaches again.
+	// tickInterval is how often the agent does the work that only depends on time.
+	tickInterval = 100 * time.Millisecond
+	// heartbeatInterval is the longest time without an event on a stream. An entry
+	// considers a stream dead after four intervals.
+	heartbeatInterval = 500 * time.Millisecond
+	// orphanGrace is how long a request goes on while nobody reads its answer. It
+	// covers the time that an entry needs to notice a dead connection, to open another
+	// one and to attach again.
 	orphanGrace = 8 * burdockclock.Second
 )
 
-// Config is what an agent is told at its start.
+// Config is the configuration of an agent, fixed at its start.
 type Config struct {
 	Upstream burdockid.Upstream
 	VM       burdockid.VM
-	Service  burdockid.Service // used until the configuration names the service
+	Service  burdockid.Service // used until the fleet configuration names the service
 	Slots    int
 }
 
-// Deps is what an agent works with.
+// Deps contains the dependencies of an agent.
 type Deps struct {
 	Clock  burdockclock.Clock
 	Engine burdockengine.Engine
 	Fleet  *burdockfleet.Fleet
-	// Verified reports whether the process knows that it is not cut off.
+	// Verified reports whether the process knows that it is not cut off from the others.
 	Verified func() bool
-	// OnConfigDigest takes the digest of the configuration that an entry holds.
+	// OnConfigDigest is called with the digest of the configuration that an entry has.
 	OnConfigDigest func(burdockconfig.Digest)
 	Log            *zap.Logger
-	// Metrics takes the agent's metrics.
+	// Metrics is the set in which the agent registers its metrics.
 	Metrics *metrics.Set
 	Random  *rand.Rand
 }
@@ -66,16 +68,17 @@
 	queue  *burdockqueue.Queue
 	policy policy
 	jobs   map[burdockid.Request]*job
-	// aliases lead requests that repeat a key to the job of the first.
+	// aliases maps a request that repeats an idempotency key to the job of the first
+	// request with that key.
 	aliases  map[burdockid.Request]*job
-	memory   *memory
-	keyed    *keyed
+	recent   *recentRequests
+	keys     *keySlots
 	draining bool
 	counts   OutcomeCounts
-	meters   meters
+	metrics  agentMetrics
 }
 
-// New returns an agent. Its loop must be started with Start.
+// New returns an agent. Start must be called to run its periodic work.
 func New(cfg Config, deps Deps) *Agent {
 	a := &Agent{
 		cfg:         cfg,
@@ -86,89 +89,89 @@
 		stopped:     make(chan struct{}),
 		jobs:        map[burdockid.Request]*job{},
 		aliases:     map[burdockid.Request]*job{},
-		memory:      newMemory(),
-		keyed:       newKeyed(),
+		recent:      newRecentRequests(),
+		keys:        newKeySlots(),
 	}
 	a.policy = policyOf(cfg, deps.Fleet.Now())
 	a.queue = burdockqueue.New(a.policy.queue, deps.Random)
-	a.meters = newMeters(a, deps.Metrics)
+	a.metrics = newAgentMetrics(a, deps.Metrics)
 	return a
 }
 
-// Start begins the agent's own work.
+// Start starts the agent's periodic work.
 func (a *Agent) Start() { go a.loop() }
 
-// Close ends the agent's own work. Requests that still run are abandoned.
+// Close ends the agent's periodic work. Requests that still run are abandoned.
 func (a *Agent) Close() {
 	close(a.stop)
 	<-a.stopped
 }
 
-// loop does what depends on time alone.
+// loop runs the periodic work until Close.
 func (a *Agent) loop() {
 	defer close(a.stopped)
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-a.stop:
 			return
 		case <-ticker.C:
-			a.advance()
+			a.onTick()
 		}
 	}
 }
 
-func (a *Agent) advance() {
+func (a *Agent) onTick() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.deps.Clock.Boot()
-	a.followConfig(now)
-	a.tendJobs(now)
-	a.memory.forget(now)
-	a.keyed.ledger.Evict(a.deps.Clock.Now())
-	a.trimAnswers()
-	a.drive(now)
+	a.applyConfig(now)
+	a.expireJobs(now)
+	a.recent.evict(now)
+	a.keys.ledger.Evict(a.deps.Clock.Now())
+	a.evictAnswers()
+	a.applyQueueEvents(now)
 }
 
-// followConfig takes up a new profile.
-func (a *Agent) followConfig(now burdockclock.Millis) {
+// applyConfig applies the fleet configuration if it has changed.
+func (a *Agent) applyConfig(now burdockclock.Millis) {
 	fleet := a.deps.Fleet.Now()
 	if fleet.Digest == a.policy.digest {
 		return
 	}
 	a.policy = policyOf(a.cfg, fleet)
 	a.queue.Reconfigure(now, a.policy.queue)
-	a.keyed.follow(fleet.Homes[a.policy.service], a.cfg.Upstream, a.incarnation)
+	a.keys.applyOwners(fleet.Homes[a.policy.service], a.cfg.Upstream, a.incarnation)
 }
 
-// tendJobs gives up requests that nobody waits for any longer, and forgets
-// those that ended a while ago.
+// expireJobs cancels requests whose answer nobody reads any longer, and deletes jobs
+// that ended a while ago.
 //
-// Load: entries die or lose their connections while their requests wait or
-// run. Harm: slots of the engine taken by work for nobody. The grace lets an
-// entry that lost only the connection come back for the answer.
-func (a *Agent) tendJobs(now burdockclock.Millis) {
+// Entries die or lose their connections while their requests wait or run. Without the
+// cancellation, such requests occupy engine slots for nobody. orphanGrace gives an entry
+// that only lost its connection the time to attach again.
+func (a *Agent) expireJobs(now burdockclock.Millis) {
 	for id, j := range a.jobs {
 		switch {
 		case j.orphanedFor(now) > orphanGrace:
 			a.cancelJob(now, j, cancelOrphaned)
-		case j.forgettable(now):
+		case j.retentionExpired(now):
 			delete(a.jobs, id)
 		default:
-			j.poke()
+			j.wakeRunner()
 		}
 	}
 	for id, j := range a.aliases {
-		if j.forgettable(now) {
+		if j.retentionExpired(now) {
 			delete(a.aliases, id)
 		}
 	}
 }
 
-// drive applies what the queue decided. It must be called after each call of
-// the queue, with the lock held.
-func (a *Agent) drive(now burdockclock.Millis) {
+// applyQueueEvents starts and drops jobs as the queue decided. It must be called after
+// each call of the queue, with the agent's lock held.
+func (a *Agent) applyQueueEvents(now burdockclock.Millis) {
 	for _, event := range a.queue.Dispatch(now) {
 		switch e := event.(type) {
 		case burdockqueue.Started:
@@ -179,8 +182,8 @@
 	}
 }
 
-// Drain refuses new work from now on. Work that waits is run or refused, as
-// the profile says; an entry offers what is refused to another upstream.
+// Drain refuses new requests from now on. Queued requests are run or refused, as the
+// profile demands. An entry offers a refused request to another upstream.
 func (a *Agent) Drain() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -193,7 +196,7 @@
 	if a.policy.stop.Queued == burdockprofile.RefuseQueued {
 		a.refuseQueued(now)
 	}
-	a.drive(now)
+	a.applyQueueEvents(now)
 }
 
 func (a *Agent) refuseQueued(now burdockclock.Millis) {
@@ -205,24 +208,24 @@
 	}
 }
 
-// StopGrace is how long the profile lets a planned stop take.
+// StopGrace returns how long a planned stop may take according to the profile.
 func (a *Agent) StopGrace() burdockclock.Millis {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.policy.stop.GraceMillis
 }
 
-// Idle reports whether no request is queued, running or being read.
+// Idle reports whether no request is queued or running and no answer is being read.
 func (a *Agent) Idle() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, j := range a.jobs {
-		if !j.settled() {
+		if !j.isDone() {
 			return false
 		}
 	}
 	return true
 }
 
-// Incarnation returns the id of this run of the process.
+// Incarnation returns the identifier of this run of the process.
 func (a *Agent) Incarnation() burdockid.Incarnation { return a.incarnation }
--- a/internal/serve/burdockagent/agent_test.go
+++ b/internal/serve/burdockagent/agent_test.go
@@ -163,7 +163,7 @@
 func TestAttachAtEachOffset(t *testing.T) {
 	r := newRig(t, 0)
 	total := r.run(t, chat("resume")).GetEnd().GetTotalBytes()
-	time.Sleep(3 * tick) // the agent has had time to forget it
+	time.Sleep(3 * tickInterval) // the agent has had time to forget it
 	whole := r.bytesFrom(t, "resume", 0)
 	if got, want := int64(len(whole)), total; got != want {
 		t.Fatalf("bytes: got %d, want %d", got, want)
@@ -225,7 +225,7 @@
 	_ = stream.Close()
 	waitFor(t, "the agent sees that nobody reads", func() bool { return r.agent.State().Requests[0].Readers == 0 })
 	r.clock.Advance(orphanGrace)
-	time.Sleep(3 * tick)
+	time.Sleep(3 * tickInterval)
 	if got, want := r.engine.Runs().Running, 1; got != want {
 		t.Errorf("running within the grace: got %d, want %d", got, want)
 	}
@@ -250,7 +250,7 @@
 	r := newRig(t, 0)
 	r.agent.deps.Verified = func() bool { return false }
 	r.agent.mu.Lock()
-	r.agent.keyed.ledger.AcquireSlot(0, 0)
+	r.agent.keys.ledger.AcquireSlot(0, 0)
 	r.agent.mu.Unlock()
 	homes := NewKeySlotManager(r.agent, nil, burdockconfig.NewView(), nil)
 	homes.Start()
--- a/internal/serve/burdockagent/cluster_test.go
+++ b/internal/serve/burdockagent/cluster_test.go
@@ -280,7 +280,7 @@
 func (l *life) loop(ctx context.Context) {
 	defer l.done.Done()
 	for ctx.Err() == nil {
-		l.homes.once(ctx)
+		l.homes.runOnce(ctx)
 		time.Sleep(homesPause)
 	}
 }
--- a/internal/serve/burdockagent/dump.go
+++ b/internal/serve/burdockagent/dump.go
@@ -10,7 +10,7 @@
 	"burdockbend.example/burdockbend/internal/state/burdockcharts"
 )
 
-// State is what a dump shows of an agent.
+// State is the agent's part of the state dump.
 type State struct {
 	Upstream     burdockid.Upstream    `json:"upstream"`
 	Service      burdockid.Service     `json:"service"`
@@ -22,7 +22,7 @@
 	Requests     []RequestState        `json:"requests"`
 }
 
-// RequestState is what a dump shows of one request.
+// RequestState is the state dump of one request.
 type RequestState struct {
 	ID        burdockid.Request          `json:"id"`
 	Customer  burdockid.Customer         `json:"customer"`
@@ -33,7 +33,7 @@
 	Bytes     int64                      `json:"bytes"`
 }
 
-// State returns a copy of what the agent knows.
+// State returns a snapshot of the agent for the state dump.
 func (a *Agent) State() State {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -65,6 +65,6 @@
 		State:     j.machine.State(),
 		AgeMillis: now - j.arrived,
 		Readers:   len(j.readers),
-		Bytes:     j.total(),
+		Bytes:     j.totalBytes(),
 	}
 }
--- a/internal/serve/burdockagent/finish.go
+++ b/internal/serve/burdockagent/finish.go
@@ -8,59 +8,60 @@
 	"go.uber.org/zap"
 )
 
-// cancelCause says why a job was given up.
+// cancelCause is the reason for which a job was cancelled.
 type cancelCause string
 
-// Causes of giving a job up.
+// Causes of a cancellation.
 const (
 	cancelCaller   cancelCause = "the caller went away"
 	cancelOrphaned cancelCause = "nobody came back for the answer"
 )
 
-// OutcomeCounts counts the requests of an agent since its start. At rest, Offered is
-// the sum of the others.
+// OutcomeCounts counts an agent's requests by outcome since its start. While no request
+// is queued or running, Offered is the sum of the other counts.
 type OutcomeCounts struct {
 	Offered   int `json:"offered"`
-	Repeated  int `json:"repeated"` // got the answer of an earlier request with their key
+	Repeated  int `json:"repeated"` // got the answer of an earlier request with the same key
 	Answered  int `json:"answered"`
 	Refused   int `json:"refused"`
 	Cut       int `json:"cut"`
 	Cancelled int `json:"cancelled"`
 }
 
-// finish records the end of a job that ran, and frees its slot.
+// finish records the end of a job that ran, and frees its engine slot.
 func (a *Agent) finish(j *job, o outcome) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.deps.Clock.Boot()
-	j.step(endingEvent(o))
-	first := j.settle(o)
+	j.fire(outcomeChartEvent(o))
+	first := j.setOutcome(o)
 	if _, whole := o.(ended); whole && first {
-		a.queue.Finish(now, j.id, j.served)
+		a.queue.Finish(now, j.id, j.servedTokens)
 	} else {
-		// An answer that broke off says nothing of the service rate.
+		// The queue must not learn its service rate from an incomplete answer.
 		a.queue.Cancel(now, j.id)
 	}
 	if first {
-		a.account(now, j, o)
+		a.recordEnd(now, j, o)
 	}
-	a.drive(now)
+	a.applyQueueEvents(now)
 }
 
-// endingEvent is the chart's event for an outcome of a job that had a slot.
-func endingEvent(o outcome) burdockcharts.RequestEvent {
+// outcomeChartEvent returns the event of the request's state chart for the outcome of a
+// job that had an engine slot.
+func outcomeChartEvent(o outcome) burdockcharts.RequestEvent {
 	switch o := o.(type) {
 	case ended:
 		return burdockcharts.RequestEventAnswerEnds
 	case refused:
 		return burdockcharts.RequestEventRefuse
 	case cut:
-		return cutEvent(o.reason)
+		return cutChartEvent(o.reason)
 	}
 	panic("burdockagent: unknown outcome")
 }
 
-func cutEvent(reason burdockwire.CutReason) burdockcharts.RequestEvent {
+func cutChartEvent(reason burdockwire.CutReason) burdockcharts.RequestEvent {
 	switch reason {
 	case burdockwire.CutReason_CUT_REASON_DEADLINE:
 		return burdockcharts.RequestEventTimeout
@@ -71,73 +72,74 @@
 	}
 }
 
-// dropJob ends a job that the queue gave up. It gets its final answer at once.
+// dropJob refuses a job that the queue dropped.
 func (a *Agent) dropJob(now burdockclock.Millis, j *job, d burdockqueue.Dropped) {
-	o := refused{reason: reasonOf(d.Reason), retryAfter: d.RetryAfter, explanation: d.Reason.String()}
-	j.step(burdockcharts.RequestEventRefuse)
-	if j.settle(o) {
-		a.account(now, j, o)
+	o := refused{reason: wireReason(d.Reason), retryAfter: d.RetryAfter, explanation: d.Reason.String()}
+	j.fire(burdockcharts.RequestEventRefuse)
+	if j.setOutcome(o) {
+		a.recordEnd(now, j, o)
 	}
 }
 
-// cancelJob gives a job up. One that runs keeps its slot until the engine has
-// let go of it; one that waits is gone at once. The agent's lock is held.
+// cancelJob cancels a job unless it has started and has an idempotency key. A running
+// job keeps its engine slot until the engine has released it; a queued one leaves the
+// queue at once. The agent's lock must be held.
 func (a *Agent) cancelJob(now burdockclock.Millis, j *job, cause cancelCause) {
-	if j.worthFinishing() {
+	if j.startedWithKey() {
 		return
 	}
 	o := cut{reason: burdockwire.CutReason_CUT_REASON_CANCELLED, explanation: string(cause)}
-	if !j.settle(o) {
+	if !j.setOutcome(o) {
 		return
 	}
-	j.step(burdockcharts.RequestEventCancel)
-	a.account(now, j, o)
+	j.fire(burdockcharts.RequestEventCancel)
+	a.recordEnd(now, j, o)
 	if j.cancelFunc() == nil {
-		a.forgetKey(j.request) // it waited: nothing of it was handed over
+		a.recordKeyNotRun(j.request) // it was queued; nothing was sent to the upstream
 	}
 	if cancel := j.cancelFunc(); cancel != nil {
 		cancel()
 		return
 	}
 	a.queue.Cancel(now, j.id)
-	a.drive(now)
+	a.applyQueueEvents(now)
 }
 
-// account counts, remembers and logs the end of a job.
-func (a *Agent) account(now burdockclock.Millis, j *job, o outcome) {
-	f := fateMayHaveRun
+// recordEnd counts, records and logs the end of a job.
+func (a *Agent) recordEnd(now burdockclock.Millis, j *job, o outcome) {
+	status := statusMayHaveRun
 	fields := []zap.Field{
 		zap.String("requestId", string(j.id)),
 		zap.String("customer", j.request.GetCustomer()),
-		zap.Int64("waitMillis", int64(j.waited(now))),
+		zap.Int64("waitMillis", int64(j.queueWait(now))),
 		zap.Int64("totalMillis", int64(now-j.arrived)),
 	}
 	switch o := o.(type) {
 	case ended:
 		a.counts.Answered++
-		a.meters.answered.Inc()
-		fields = append(fields, zap.String("outcome", "answered"), zap.Int64("bytes", o.total))
+		a.metrics.answered.Inc()
+		fields = append(fields, zap.String("outcome", "answered"), zap.Int64("bytes", o.totalBytes))
 	case refused:
 		a.countRefusal(o.reason)
-		f = fateNotRun
+		status = statusNotRun
 		fields = append(fields, zap.String("outcome", "refused"), zap.String("reason", o.explanation))
 	case cut:
 		if o.reason == burdockwire.CutReason_CUT_REASON_CANCELLED {
 			a.counts.Cancelled++
-			a.meters.cancelled.Inc()
+			a.metrics.cancelled.Inc()
 		} else {
 			a.counts.Cut++
-			a.meters.cut.Inc()
+			a.metrics.cut.Inc()
 		}
 		fields = append(fields, zap.String("outcome", "cut"), zap.String("reason", o.explanation))
 	}
-	a.meters.ran(j)
-	a.memory.remember(now, j.id, f)
-	a.endKey(j, o)
+	a.metrics.observe(j)
+	a.recent.record(now, j.id, status)
+	a.recordKeyOutcome(j, o)
 	a.deps.Log.Info("request ended", fields...)
 }
 
-var queueReasons = map[burdockqueue.Reason]burdockwire.RefusedReason{
+var wireReasons = map[burdockqueue.Reason]burdockwire.RefusedReason{
 	burdockqueue.ReasonQueueFull:    burdockwire.RefusedReason_REFUSED_REASON_QUEUE_FULL,
 	burdockqueue.ReasonDeadline:     burdockwire.RefusedReason_REFUSED_REASON_DEADLINE,
 	burdockqueue.ReasonOverShare:    burdockwire.RefusedReason_REFUSED_REASON_OVER_SHARE,
@@ -146,10 +148,11 @@
 	burdockqueue.ReasonDraining:     burdockwire.RefusedReason_REFUSED_REASON_LEAVING,
 }
 
-func reasonOf(r burdockqueue.Reason) burdockwire.RefusedReason { return queueReasons[r] }
+func wireReason(r burdockqueue.Reason) burdockwire.RefusedReason { return wireReasons[r] }
 
-// load is what the agent says of itself on each answer.
-func (a *Agent) load() *burdockwire.Load {
+// loadLocked returns the load that the agent reports with each reply. The agent's lock
+// must be held.
+func (a *Agent) loadLocked() *burdockwire.Load {
 	l := a.queue.Load()
 	return &burdockwire.Load{
 		Running:            int32(l.Running),
@@ -163,9 +166,9 @@
 	}
 }
 
-// lockedLoad is load for callers that don't hold the lock.
-func (a *Agent) lockedLoad() *burdockwire.Load {
+// load is loadLocked for callers that don't hold the lock.
+func (a *Agent) load() *burdockwire.Load {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.load()
+	return a.loadLocked()
 }
--- a/internal/serve/burdockagent/fuzz_test.go
+++ b/internal/serve/burdockagent/fuzz_test.go
@@ -53,7 +53,7 @@
 		Metrics: metrics.NewSet(), Random: rand.New(rand.NewPCG(1, 2)),
 	})
 	for slot := range burdockledger.Slot(burdockledger.SlotCount) {
-		a.keyed.ledger.AcquireSlot(slot, 0)
+		a.keys.ledger.AcquireSlot(slot, 0)
 	}
 	clock.Advance(uptime)
 	a.Start()
@@ -154,8 +154,8 @@
 		}
 		r.agent.mu.Lock()
 		defer r.agent.mu.Unlock()
-		ledger := r.agent.keyed.ledger
-		ledger.ImportSlot(burdockledger.Slot(slot), burdockclock.Millis(since), linesOf(offer))
+		ledger := r.agent.keys.ledger
+		ledger.ImportSlot(burdockledger.Slot(slot), burdockclock.Millis(since), recordsOf(offer))
 		wall := r.clock.Clock().Now()
 		ask := burdockledger.KeyedRequest{Key: burdockledger.Key{high, low}, Request: "repeat", Fingerprint: burdockledger.Fingerprint(print)}
 		if d, ok := ledger.Decide(wall, ask).(burdockledger.Attach); !ok || d.Request != burdockid.Request("first") {
--- a/internal/serve/burdockagent/handover.go
+++ b/internal/serve/burdockagent/handover.go
@@ -14,126 +14,127 @@
 	"connectrpc.com/connect"
 )
 
-// handOver passes on up to most of the held slots that which names.
+// handOverSlots hands over at most limit of the agent's idle slots for which selected
+// returns true.
 //
-// Failure: an agent is stopped as planned, and with it goes the memory of the
-// keys that it let run. Symptom: its successor must answer each repeat, and
-// each undated key, with "may have run". The memory goes to the successor
-// first and the home changes afterwards in one write, so at every moment one
-// home has all of it.
-func (h *KeySlotManager) handOver(ctx context.Context, service burdockid.Service, most int, which func(burdockledger.Slot) bool) {
-	var tasks []task
+// Without a handover, a planned stop loses the key records of the agent, and its
+// successor must answer each repeat, and each key without a creation time, with "may have
+// run". The records are sent to the successor first and the owner is changed afterwards
+// in a single write, so there is always one owner that has all records.
+func (m *KeySlotManager) handOverSlots(ctx context.Context, service burdockid.Service, limit int, selected func(burdockledger.Slot) bool) {
+	var tasks []slotTask
 	for slot := range burdockledger.Slot(burdockledger.SlotCount) {
-		if len(tasks) < most && h.agent.holdsIdle(slot) && which(slot) {
-			tasks = append(tasks, task{homes: h, service: service, slot: slot, do: handing{}})
+		if len(tasks) < limit && m.agent.ownsIdleSlot(slot) && selected(slot) {
+			tasks = append(tasks, slotTask{manager: m, service: service, slot: slot, action: handOverAction{}})
 		}
 	}
-	for group := range slices.Chunk(tasks, tasksAtOnce) {
-		if ctx.Err() != nil || h.openMoves() > 0 {
-			return // a store that leaves one write open will leave the next
+	for batch := range slices.Chunk(tasks, maxParallelTasks) {
+		if ctx.Err() != nil || m.pendingWrites() > 0 {
+			return // with one write unresolved, further ones would hardly succeed
 		}
-		runAll(ctx, group)
+		runAll(ctx, batch)
 	}
 }
 
-func (h *KeySlotManager) handOverSlot(ctx context.Context, service burdockid.Service, slot burdockledger.Slot) {
-	offer, base, ok := h.agent.beginMove(slot)
+func (m *KeySlotManager) handOverSlot(ctx context.Context, service burdockid.Service, slot burdockledger.Slot) {
+	offer, base, ok := m.agent.beginHandover(slot)
 	if !ok {
 		return
 	}
-	next, inc, ok := h.successor(ctx, service, slot, offer)
+	next, inc, ok := m.findSuccessor(ctx, service, slot, offer)
 	if !ok {
-		h.agent.endMove(slot)
+		m.agent.abortHandover(slot)
 		return
 	}
-	h.settle(ctx, service, slot, move{base: base, home: burdockhome.Home{
+	m.writeHandover(ctx, service, slot, ownerWrite{base: base, owner: burdockhome.Home{
 		Upstream:    next,
 		Incarnation: inc,
 		SinceMillis: burdockclock.Millis(offer.GetSinceMillis()),
-		From:        h.agent.incarnation,
+		From:        m.agent.incarnation,
 	}})
 }
 
-// settle writes a handover until its outcome is clear.
+// writeHandover writes the new owner of a slot. If the result is unknown, the write is
+// kept for retryPending.
 //
-// While it is open the slot runs nothing: the write may yet take effect, and
-// the next home would not know of what ran here. The same write is tried
-// again over the same version, so that one of the tries decides.
-func (h *KeySlotManager) settle(ctx context.Context, service burdockid.Service, slot burdockledger.Slot, m move) {
-	outcome := h.write(ctx, service, slot, m)
-	if outcome == writeLost {
-		h.agent.endMove(slot)
+// Until the result is known, no key of the slot runs: the write may still take effect,
+// and the new owner would have no record of what ran here. Each retry is the same write
+// over the same base version, so at most one attempt takes effect.
+func (m *KeySlotManager) writeHandover(ctx context.Context, service burdockid.Service, slot burdockledger.Slot, w ownerWrite) {
+	result := m.write(ctx, service, slot, w)
+	if result == writeConflict {
+		m.agent.abortHandover(slot)
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if outcome == writeOpen {
-		h.open[slot] = m
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if result == writeUnknown {
+		m.pending[slot] = w
 		return
 	}
-	delete(h.open, slot)
+	delete(m.pending, slot)
 }
 
-// settleOpen tries all open handovers again.
-func (h *KeySlotManager) settleOpen(ctx context.Context, service burdockid.Service) {
-	h.mu.Lock()
-	var tasks []task
-	for slot, m := range h.open {
-		tasks = append(tasks, task{homes: h, service: service, slot: slot, do: settling{m}})
+// retryPending retries all handover writes whose result is unknown.
+func (m *KeySlotManager) retryPending(ctx context.Context, service burdockid.Service) {
+	m.mu.Lock()
+	var tasks []slotTask
+	for slot, w := range m.pending {
+		tasks = append(tasks, slotTask{manager: m, service: service, slot: slot, action: retryAction{w}})
 	}
-	h.mu.Unlock()
+	m.mu.Unlock()
 	runAll(ctx, tasks)
 }
 
-func (h *KeySlotManager) openMoves() int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return len(h.open)
+func (m *KeySlotManager) pendingWrites() int {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return len(m.pending)
 }
 
-// successor finds the first agent that a slot prefers and that takes its
-// memory. Unless this agent leaves, only those count that the slot prefers to
-// it.
-func (h *KeySlotManager) successor(ctx context.Context, service burdockid.Service, slot burdockledger.Slot, offer *burdockwire.TakeKeysRequest) (burdockid.Upstream, burdockid.Incarnation, bool) {
-	for _, next := range h.successors(service, slot) {
+// findSuccessor offers the slot's records to the other agents in the slot's order of
+// preference, and returns the first that accepts them. Unless this agent is draining,
+// only agents that precede it in that order are asked.
+func (m *KeySlotManager) findSuccessor(ctx context.Context, service burdockid.Service, slot burdockledger.Slot, offer *burdockwire.TakeKeysRequest) (burdockid.Upstream, burdockid.Incarnation, bool) {
+	for _, next := range m.preferredMembers(service, slot) {
 		switch {
-		case next.Name != h.agent.cfg.Upstream:
-			if h.avoids(next.Name) {
+		case next.Name != m.agent.cfg.Upstream:
+			if m.avoids(next.Name) {
 				continue
 			}
-			if inc, taken := h.offer(ctx, next, offer); taken {
+			if inc, taken := m.offerSlot(ctx, next, offer); taken {
 				return next.Name, inc, true
 			}
-			h.avoidFor(next.Name)
-		case !h.agent.isDraining():
+			m.startAvoiding(next.Name)
+		case !m.agent.isDraining():
 			return "", "", false
 		}
 	}
 	return "", "", false
 }
 
-// avoidLength is how long an agent that did not take a slot is left alone.
+// avoidPeriod is how long no slot is offered to an agent that did not accept one.
 //
-// Load: the agent that a slot prefers is frozen or dead for minutes. Harm:
-// while a slot is offered to it, nothing runs there; offered twice a second,
-// its keys would be refused most of the time.
-const avoidLength = 15 * burdockclock.Second
+// The agent that a slot prefers may be frozen or dead for minutes. No key of a slot runs
+// while the slot is being offered, so keys of a slot that is offered twice a second would
+// be refused most of the time.
+const avoidPeriod = 15 * burdockclock.Second
 
-func (h *KeySlotManager) avoids(u burdockid.Upstream) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.agent.deps.Clock.Boot() < h.avoid[u]
+func (m *KeySlotManager) avoids(u burdockid.Upstream) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.agent.deps.Clock.Boot() < m.avoidUntil[u]
 }
 
-func (h *KeySlotManager) avoidFor(u burdockid.Upstream) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.avoid[u] = h.agent.deps.Clock.Boot() + avoidLength
+func (m *KeySlotManager) startAvoiding(u burdockid.Upstream) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.avoidUntil[u] = m.agent.deps.Clock.Boot() + avoidPeriod
 }
 
-func (h *KeySlotManager) offer(ctx context.Context, next burdockmember.Upstream, offer *burdockwire.TakeKeysRequest) (burdockid.Incarnation, bool) {
-	ctx, cancel := context.WithTimeout(ctx, takeTimeout)
+func (m *KeySlotManager) offerSlot(ctx context.Context, next burdockmember.Upstream, offer *burdockwire.TakeKeysRequest) (burdockid.Incarnation, bool) {
+	ctx, cancel := context.WithTimeout(ctx, offerTimeout)
 	defer cancel()
-	client := burdockwire.NewAgentServiceClient(h.peers.Client, h.peers.URL(next.Agent), burdocktransport.ClientOptions()...)
+	client := burdockwire.NewAgentServiceClient(m.peers.Client, m.peers.URL(next.Agent), burdocktransport.ClientOptions()...)
 	res, err := client.TakeKeys(ctx, connect.NewRequest(offer))
 	if err != nil || !res.Msg.GetTaken() {
 		return "", false
--- a/internal/serve/burdockagent/handover_test.go
+++ b/internal/serve/burdockagent/handover_test.go
@@ -14,7 +14,7 @@
 const handedKey = "handed over"
 
 func handedAsk() burdockledger.KeyedRequest {
-	return askOf(&burdockwire.RunRequest{RequestId: "repeat", Customer: historyCustomer, IdempotencyKey: handedKey})
+	return keyedRequestOf(&burdockwire.RunRequest{RequestId: "repeat", Customer: historyCustomer, IdempotencyKey: handedKey})
 }
 
 // handOver is the memory of the key's slot, from a home that ran the key or
@@ -45,17 +45,17 @@
 	defer r.agent.mu.Unlock()
 	home := burdockhome.Home{Upstream: "u-1", Incarnation: r.agent.incarnation, From: from}
 	homes := burdockhome.Homes{burdockledger.SlotOf(handedAsk().Key): {Home: home, Version: version}}
-	r.agent.keyed.follow(homes, "u-1", r.agent.incarnation)
+	r.agent.keys.applyOwners(homes, "u-1", r.agent.incarnation)
 }
 
 // decide asks the ledger for the key.
 func (r *rig) decide() burdockledger.Decision {
 	r.agent.mu.Lock()
 	defer r.agent.mu.Unlock()
-	if !r.agent.keyed.ledger.OwnsSlot(burdockledger.SlotOf(handedAsk().Key)) {
+	if !r.agent.keys.ledger.OwnsSlot(burdockledger.SlotOf(handedAsk().Key)) {
 		return nil
 	}
-	return r.agent.keyed.ledger.Decide(r.clock.Clock().Now(), handedAsk())
+	return r.agent.keys.ledger.Decide(r.clock.Clock().Now(), handedAsk())
 }
 
 // A caller repeats a key at its new home and gets no second run. The old home
--- a/internal/serve/burdockagent/job.go
+++ b/internal/serve/burdockagent/job.go
@@ -12,59 +12,60 @@
 )
 
 const (
-	// keepBehind is how much of an answer is kept after it was sent, so that a
-	// reader that lost its connection can go on from where it was.
-	keepBehind = 1 << 20
-	// readAhead is how far the upstream is read ahead of the readers. It bounds
-	// what one slow reader costs; the upstream then waits for it.
-	readAhead = 1 << 20
-	// keepEnded is how long an ended job is kept. An entry finds a silent
-	// connection after two seconds and attaches again a few times.
-	keepEnded = 10 * burdockclock.Second
+	// resendWindow is how much of an answer, in bytes, is kept after it was sent. A
+	// reader that lost its connection can continue from an offset within it.
+	resendWindow = 1 << 20
+	// maxReadAhead is how far, in bytes, the upstream's answer is read ahead of the
+	// readers. It limits the memory that a slow reader costs; beyond it, the upstream
+	// has to wait for the reader.
+	maxReadAhead = 1 << 20
+	// endedRetention is how long an ended job is kept. An entry notices a dead
+	// connection after two seconds and then tries to attach several times.
+	endedRetention = 10 * burdockclock.Second
 )
 
-// job is one request at this agent, from its admission until its answer has
-// been read or given up.
+// job is a request at this agent, from its admission until its answer has been read or
+// is no longer kept.
 type job struct {
 	id       burdockid.Request
 	request  *burdockwire.RunRequest
 	deadline burdockclock.Millis // on the boot clock; 0 is none
 	arrived  burdockclock.Millis
 	clock    burdockclock.Clock
-	slot     burdockledger.Slot // of its key, if it has one
-
-	mu      sync.Mutex
-	room    *sync.Cond // signalled when a reader has taken bytes, and on each tick
-	machine burdockcharts.RequestMachine
-	readers map[*reader]struct{}
-	// unread is since when nobody reads the answer; 0 while somebody does.
-	unread    burdockclock.Millis
-	head      *burdockwire.Head
-	kept      []byte
-	base      int64 // offset of kept[0]
-	sent      int64 // offset up to which some reader has sent
-	outcome   outcome
-	delivered bool // a reader has passed the outcome on
-	endedAt   burdockclock.Millis
-	cancel    context.CancelFunc
-	served    burdockid.Tokens
-	startedAt burdockclock.Millis
-	firstByte burdockclock.Millis
+	slot     burdockledger.Slot // of the idempotency key, if there is one
+
+	mu         sync.Mutex
+	spaceFreed *sync.Cond // signalled when a reader has sent bytes, and on each tick
+	machine    burdockcharts.RequestMachine
+	readers    map[*reader]struct{}
+	// unreadSince is the time since which the answer has no reader; 0 if it has one.
+	unreadSince  burdockclock.Millis
+	head         *burdockwire.Head
+	buffer       []byte
+	bufferStart  int64 // offset of buffer[0] in the answer
+	sentUpTo     int64 // highest offset up to which a reader has sent the answer
+	outcome      outcome
+	delivered    bool // a reader has sent the outcome
+	endedAt      burdockclock.Millis
+	cancel       context.CancelFunc
+	servedTokens burdockid.Tokens
+	startedAt    burdockclock.Millis
+	firstByteAt  burdockclock.Millis
 }
 
-// outcome is how a job ended: ended, cut or refused.
+// outcome is the outcome of a job: ended, cut or refused.
 type outcome interface{ isOutcome() }
 
-// ended: the whole answer came.
-type ended struct{ total int64 }
+// ended means that the whole answer was received.
+type ended struct{ totalBytes int64 }
 
-// cut: the answer will not become whole.
+// cut means that the job ended without a whole answer.
 type cut struct {
 	reason      burdockwire.CutReason
 	explanation string
 }
 
-// refused: the request was never handed to the upstream.
+// refused means that the request was never sent to the upstream.
 type refused struct {
 	reason      burdockwire.RefusedReason
 	retryAfter  burdockclock.Millis
@@ -75,114 +76,115 @@
 func (cut) isOutcome()     {}
 func (refused) isOutcome() {}
 
-// reader is woken when its job has something new.
+// reader is an entry that reads a job's answer. It is woken when the job has progressed.
 type reader struct{ wake chan struct{} }
 
 func newJob(req *burdockwire.RunRequest, now burdockclock.Millis, clock burdockclock.Clock) *job {
 	j := &job{
-		id:       burdockid.Request(req.GetRequestId()),
-		request:  req,
-		arrived:  now,
-		deadline: deadline(now, burdockclock.Millis(req.GetTimeoutMillis())),
-		clock:    clock,
-		machine:  burdockcharts.NewRequest(),
-		readers:  map[*reader]struct{}{},
-		unread:   now,
+		id:          burdockid.Request(req.GetRequestId()),
+		request:     req,
+		arrived:     now,
+		deadline:    deadline(now, burdockclock.Millis(req.GetTimeoutMillis())),
+		clock:       clock,
+		machine:     burdockcharts.NewRequest(),
+		readers:     map[*reader]struct{}{},
+		unreadSince: now,
 	}
-	if j.keyed() {
+	if j.hasKey() {
 		j.slot = burdockledger.SlotOf(keyOf(req))
 	}
-	j.room = sync.NewCond(&j.mu)
+	j.spaceFreed = sync.NewCond(&j.mu)
 	return j
 }
 
-// fire takes an event of the request's chart. An event that the chart rejects
-// is a fault in this program, and going on could tell a caller "not run" of
-// what ran.
-func (j *job) fire(e burdockcharts.RequestEvent) {
+// fireLocked applies an event to the request's state chart. It panics if the chart
+// rejects the event: that is a bug in this program, and continuing could report "not run"
+// for a request that ran. The job's lock must be held.
+func (j *job) fireLocked(e burdockcharts.RequestEvent) {
 	if _, err := j.machine.Fire(e); err != nil {
 		panic(err)
 	}
 }
 
-// step takes an event under the job's lock.
-func (j *job) step(e burdockcharts.RequestEvent) {
+// fire is fireLocked for callers that don't hold the lock.
+func (j *job) fire(e burdockcharts.RequestEvent) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.fire(e)
+	j.fireLocked(e)
 }
 
-// join adds a reader.
-func (j *job) join() *reader {
+// addReader adds a reader.
+func (j *job) addReader() *reader {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	r := &reader{wake: make(chan struct{}, 1)}
 	j.readers[r] = struct{}{}
-	j.unread = 0
+	j.unreadSince = 0
 	return r
 }
 
-// leave removes a reader.
-func (j *job) leave(r *reader) {
+// removeReader removes a reader.
+func (j *job) removeReader(r *reader) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	delete(j.readers, r)
 	if len(j.readers) == 0 {
-		j.unread = j.clock.Boot()
+		j.unreadSince = j.clock.Boot()
 	}
-	j.room.Broadcast()
+	j.spaceFreed.Broadcast()
 }
 
-// wakeReaders must be called with the lock held.
+// wakeReaders wakes all readers. The job's lock must be held.
 func (j *job) wakeReaders() {
 	for r := range j.readers {
 		select {
 		case r.wake <- struct{}{}:
-		default: // it has not yet taken up the last call
+		default: // a wake-up is already pending
 		}
 	}
 }
 
-// begin records the head of the upstream's answer.
-func (j *job) begin(head *burdockwire.Head) {
+// setHead records the status and headers of the upstream's answer.
+func (j *job) setHead(head *burdockwire.Head) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.fire(burdockcharts.RequestEventAnswerBegins)
+	j.fireLocked(burdockcharts.RequestEventAnswerBegins)
 	j.head = head
-	j.firstByte = j.clock.Boot()
+	j.firstByteAt = j.clock.Boot()
 	j.wakeReaders()
 }
 
-// add appends bytes of the answer. It waits while the readers are too far
-// behind, and reports false when the job was given up meanwhile.
-func (j *job) add(ctx context.Context, data []byte) bool {
+// appendData appends bytes of the answer. It waits while the readers are too far behind,
+// and returns false if the job ended in the meantime.
+func (j *job) appendData(ctx context.Context, data []byte) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	for j.outcome == nil && ctx.Err() == nil && j.total()-j.sent > readAhead {
-		j.room.Wait()
+	for j.outcome == nil && ctx.Err() == nil && j.totalBytes()-j.sentUpTo > maxReadAhead {
+		j.spaceFreed.Wait()
 	}
 	if j.outcome != nil || ctx.Err() != nil {
 		return false
 	}
-	j.kept = append(j.kept, data...)
-	j.trim()
+	j.buffer = append(j.buffer, data...)
+	j.trimBuffer()
 	j.wakeReaders()
 	return true
 }
 
-// trim drops bytes that were sent long ago.
-func (j *job) trim() {
-	if excess := j.sent - keepBehind - j.base; excess > keepBehind {
-		j.kept = append([]byte(nil), j.kept[excess:]...)
-		j.base += excess
+// trimBuffer drops bytes that are more than resendWindow behind what was sent, at least
+// resendWindow bytes at a time.
+func (j *job) trimBuffer() {
+	if excess := j.sentUpTo - resendWindow - j.bufferStart; excess > resendWindow {
+		j.buffer = append([]byte(nil), j.buffer[excess:]...)
+		j.bufferStart += excess
 	}
 }
 
-func (j *job) total() int64 { return j.base + int64(len(j.kept)) }
+func (j *job) totalBytes() int64 { return j.bufferStart + int64(len(j.buffer)) }
 
-// settle records how the job ended. Only the first outcome counts. It reports
-// whether this was the first.
-func (j *job) settle(o outcome) bool {
+// setOutcome records the outcome of the job, unless it already has one. It reports
+// whether the outcome was recorded.
+func (j *job) setOutcome(o outcome) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.outcome != nil {
@@ -191,72 +193,72 @@
 	j.outcome = o
 	j.endedAt = j.clock.Boot()
 	j.wakeReaders()
-	j.room.Broadcast()
+	j.spaceFreed.Broadcast()
 	return true
 }
 
-// keyed reports whether the request has an idempotency key.
-func (j *job) keyed() bool { return j.request.GetIdempotencyKey() != "" }
+// hasKey reports whether the request has an idempotency key.
+func (j *job) hasKey() bool { return j.request.GetIdempotencyKey() != "" }
 
-// poke lets a runner that waits for room look at its deadline.
-func (j *job) poke() { j.room.Broadcast() }
+// wakeRunner makes a runner that waits for its readers check its deadline.
+func (j *job) wakeRunner() { j.spaceFreed.Broadcast() }
 
-// progress is what is new for a reader that has read up to an offset.
+// progress contains what is new for a reader that has read up to an offset.
 type progress struct {
 	head    *burdockwire.Head
 	data    []byte
 	outcome outcome
-	gone    bool // the offset is no longer kept
+	gone    bool // the bytes at the offset are not available
 }
 
-// since returns what is new after offset. The data must be used before the
-// reader asks again.
-func (j *job) since(offset int64, headSent bool) progress {
+// progressSince returns what is new after offset. The data is at most one message and
+// must be used before the next call.
+func (j *job) progressSince(offset int64, headSent bool) progress {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if offset < j.base || offset > j.total() {
+	if offset < j.bufferStart || offset > j.totalBytes() {
 		return progress{gone: true}
 	}
 	var p progress
 	if !headSent {
 		p.head = j.head
 	}
-	data := j.kept[offset-j.base:]
-	p.data = data[:min(len(data), maxChunk)]
-	if offset+int64(len(p.data)) == j.total() {
+	data := j.buffer[offset-j.bufferStart:]
+	p.data = data[:min(len(data), maxChunkBytes)]
+	if offset+int64(len(p.data)) == j.totalBytes() {
 		p.outcome = j.outcome
 	}
 	return p
 }
 
-// maxChunk bounds one message; a reader takes the rest with the next one.
-const maxChunk = 64 << 10
+// maxChunkBytes limits the data in one message. The rest follows in further messages.
+const maxChunkBytes = 64 << 10
 
-// took records that a reader has sent all up to offset.
-func (j *job) took(offset int64) {
+// markSent records that a reader has sent the answer up to offset.
+func (j *job) markSent(offset int64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.sent = max(j.sent, offset)
-	j.room.Broadcast()
+	j.sentUpTo = max(j.sentUpTo, offset)
+	j.spaceFreed.Broadcast()
 }
 
-// deliver records that a reader has passed the outcome on.
-func (j *job) deliver() {
+// markDelivered records that a reader has sent the outcome.
+func (j *job) markDelivered() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.delivered = true
 }
 
-// cancelFunc returns what stops the job's work on the engine, or nil when it
-// has no slot yet.
+// cancelFunc returns the function that stops the job on the engine, or nil if the job has
+// no engine slot yet.
 func (j *job) cancelFunc() context.CancelFunc {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.cancel
 }
 
-// waited returns how long the job waited for a slot.
-func (j *job) waited(now burdockclock.Millis) burdockclock.Millis {
+// queueWait returns how long the job has waited for an engine slot.
+func (j *job) queueWait(now burdockclock.Millis) burdockclock.Millis {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.startedAt > 0 {
@@ -265,14 +267,14 @@
 	return now - j.arrived
 }
 
-// ran returns how long the upstream took for an ended job.
-func (j *job) ran() burdockclock.Millis {
+// runTime returns how long an ended job ran on the engine.
+func (j *job) runTime() burdockclock.Millis {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.endedAt - j.startedAt
 }
 
-// queued reports whether the job waits for a slot.
+// queued reports whether the job waits for an engine slot.
 func (j *job) queued() bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/internal/serve/burdockagent/keys.go
+++ b/internal/serve/burdockagent/keys.go
@@ -13,91 +13,95 @@
 )
 
 const (
-	// keepAnswers is how long the answer to a request with a key is kept for a
-	// caller that asks again.
-	keepAnswers = 10 * burdockclock.Minute
-	// keepAnswerBytes bounds the answers kept in all. Beyond it the oldest go,
-	// and a caller that asks again is told that its request ran.
-	keepAnswerBytes = 8 << 20
-	// homeRetry is when a caller may come back whose key has no home just now.
-	homeRetry = burdockclock.Second
+	// answerRetention is how long the answer to a request with a key is kept for callers
+	// that repeat the key.
+	answerRetention = 10 * burdockclock.Minute
+	// maxRetainedBytes limits the total size of these answers. Beyond it the oldest ones
+	// are deleted, and a caller that repeats such a key only learns that its request ran.
+	maxRetainedBytes = 8 << 20
+	// ownerRetryAfter is the delay suggested to a caller while this agent does not own
+	// the slot of its key.
+	ownerRetryAfter = burdockclock.Second
 )
 
-// keyed is what an agent holds as the home of idempotency keys. The agent's
-// lock guards it.
-type keyed struct {
+// keySlots is the state of the slots of idempotency keys that an agent owns. All keys of
+// a slot have the same owner. The agent's lock guards it.
+type keySlots struct {
 	ledger *burdockledger.Ledger
-	homes  burdockhome.Homes
-	// heldAt is the version of the home that made each held slot this agent's.
-	heldAt map[burdockledger.Slot]burdockid.Version
-	// offered holds memories that other agents hand over. Each takes effect
-	// when the configuration names this agent the home.
-	offered map[burdockledger.Slot]offers
-	// moving holds slots that are being handed over: nothing new runs there.
-	moving map[burdockledger.Slot]bool
+	owners burdockhome.Homes
+	// ownerVersion contains, for each slot that the agent owns, the version of the
+	// configuration entry that made it the owner.
+	ownerVersion map[burdockledger.Slot]burdockid.Version
+	// offers contains the key records that other agents have sent for a handover. They
+	// take effect when the configuration makes this agent the owner of the slot.
+	offers map[burdockledger.Slot]slotOffers
+	// handingOver contains the slots that are being handed over. None of their keys
+	// starts to run.
+	handingOver map[burdockledger.Slot]bool
 }
 
-func newKeyed() *keyed {
-	return &keyed{
-		ledger:  burdockledger.New(),
-		homes:   burdockhome.Homes{},
-		heldAt:  map[burdockledger.Slot]burdockid.Version{},
-		offered: map[burdockledger.Slot]offers{},
-		moving:  map[burdockledger.Slot]bool{},
+func newKeySlots() *keySlots {
+	return &keySlots{
+		ledger:       burdockledger.New(),
+		owners:       burdockhome.Homes{},
+		ownerVersion: map[burdockledger.Slot]burdockid.Version{},
+		offers:       map[burdockledger.Slot]slotOffers{},
+		handingOver:  map[burdockledger.Slot]bool{},
 	}
 }
 
-// follow takes up the homes that the configuration names. Only the
-// configuration makes an agent a home.
+// applyOwners acquires and releases slots as the configuration demands. Only the
+// configuration makes an agent the owner of a slot.
 //
-// Failure: an agent is held up while it gives a slot away and gets it back,
-// and sees only the last change. Symptom: it goes on with the memory from
-// before, and runs a key again that ran at the home in between. The version of
-// the home tells: a slot that is held from another version is taken anew.
-func (k *keyed) follow(homes burdockhome.Homes, self burdockid.Upstream, inc burdockid.Incarnation) {
-	k.homes = homes
+// An agent that was delayed may miss that a slot went to another owner and came back, and
+// see only the last of the two changes. If it then continued with its old records, it
+// would run a key again that the other owner ran. A slot whose version has changed is
+// therefore acquired again.
+func (k *keySlots) applyOwners(owners burdockhome.Homes, self burdockid.Upstream, inc burdockid.Incarnation) {
+	k.owners = owners
 	for slot := range burdockledger.Slot(burdockledger.SlotCount) {
-		home, known := homes[slot]
-		own := known && home.Upstream == self && home.Incarnation == inc
+		owner, known := owners[slot]
+		owned := known && owner.Upstream == self && owner.Incarnation == inc
 		switch {
-		case own && (!k.ledger.OwnsSlot(slot) || k.heldAt[slot] != home.Version):
-			k.hold(slot, home)
-		case !own && k.ledger.OwnsSlot(slot):
-			k.drop(slot)
+		case owned && (!k.ledger.OwnsSlot(slot) || k.ownerVersion[slot] != owner.Version):
+			k.acquire(slot, owner)
+		case !owned && k.ledger.OwnsSlot(slot):
+			k.release(slot)
 		}
 	}
 }
 
-func (k *keyed) drop(slot burdockledger.Slot) {
+func (k *keySlots) release(slot burdockledger.Slot) {
 	k.ledger.ReleaseSlot(slot)
-	delete(k.moving, slot)
-	delete(k.heldAt, slot)
+	delete(k.handingOver, slot)
+	delete(k.ownerVersion, slot)
 }
 
-// hold takes a slot, with the memory that was handed over if there is one. What
-// the ledger knows already of the slot stays.
-func (k *keyed) hold(slot burdockledger.Slot, home burdockhome.Versioned) {
-	offer := k.offered[slot][home.From]
-	delete(k.offered, slot)
-	delete(k.moving, slot)
+// acquire makes the agent the owner of a slot, and imports the records that the previous
+// owner handed over, if any. Records of the slot that the ledger already has stay.
+func (k *keySlots) acquire(slot burdockledger.Slot, owner burdockhome.Versioned) {
+	offer := k.offers[slot][owner.From]
+	delete(k.offers, slot)
+	delete(k.handingOver, slot)
 	switch {
-	case home.From == "":
-		k.ledger.AcquireSlot(slot, home.SinceMillis)
+	case owner.From == "":
+		k.ledger.AcquireSlot(slot, owner.SinceMillis)
 	case offer == nil:
-		// The configuration speaks of a handover that this process never got. It
-		// is named by incarnation, so this can't be; running nothing is safe.
-		k.drop(slot)
+		// The configuration names a handover that this process never received. This
+		// can't happen, because an owner is named by incarnation. Not running any key of
+		// the slot is safe.
+		k.release(slot)
 		return
 	default:
-		k.ledger.ImportSlot(slot, home.SinceMillis, linesOf(offer))
+		k.ledger.ImportSlot(slot, owner.SinceMillis, recordsOf(offer))
 	}
-	k.heldAt[slot] = home.Version
+	k.ownerVersion[slot] = owner.Version
 }
 
-func linesOf(offer *burdockwire.TakeKeysRequest) []burdockledger.HandoverRecord {
-	lines := make([]burdockledger.HandoverRecord, len(offer.GetLines()))
+func recordsOf(offer *burdockwire.TakeKeysRequest) []burdockledger.HandoverRecord {
+	records := make([]burdockledger.HandoverRecord, len(offer.GetLines()))
 	for i, l := range offer.GetLines() {
-		lines[i] = burdockledger.HandoverRecord{
+		records[i] = burdockledger.HandoverRecord{
 			Key:         burdockledger.Key{l.GetKeyHigh(), l.GetKeyLow()},
 			Request:     burdockid.Request(l.GetRequestId()),
 			Fingerprint: burdockledger.Fingerprint(l.GetFingerprint()),
@@ -105,118 +109,119 @@
 			ReceivedAt:  burdockclock.Millis(l.GetAtMillis()),
 		}
 	}
-	return lines
+	return records
 }
 
-// keyOf returns the key of a request that has one.
+// keyOf returns the ledger key of a request that has an idempotency key.
 func keyOf(req *burdockwire.RunRequest) burdockledger.Key {
 	return burdockledger.KeyOf(burdockid.Customer(req.GetCustomer()), burdockid.IdempotencyKey(req.GetIdempotencyKey()))
 }
 
-// askOf converts a request with a key. It hashes the whole body, so it is for
-// the one moment in which the ledger decides; elsewhere keyOf is enough.
-func askOf(req *burdockwire.RunRequest) burdockledger.KeyedRequest {
+// keyedRequestOf converts a request with a key for the ledger's decision. It hashes the
+// whole body; keyOf is cheaper where only the key is needed.
+func keyedRequestOf(req *burdockwire.RunRequest) burdockledger.KeyedRequest {
 	key := burdockid.IdempotencyKey(req.GetIdempotencyKey())
-	birth, _ := burdockledger.CreationTime(key)
-	var print xxhash.Digest
-	print.Reset()
+	createdAt, _ := burdockledger.CreationTime(key)
+	var digest xxhash.Digest
+	digest.Reset()
 	for _, part := range []string{req.GetMethod(), req.GetPath(), req.GetQuery()} {
-		_, _ = print.WriteString(part + "\x00")
+		_, _ = digest.WriteString(part + "\x00")
 	}
-	_, _ = print.Write(req.GetBody())
+	_, _ = digest.Write(req.GetBody())
 	return burdockledger.KeyedRequest{
 		Key:         keyOf(req),
 		Request:     burdockid.Request(req.GetRequestId()),
-		Fingerprint: burdockledger.Fingerprint(print.Sum64()),
-		CreatedAt:   birth,
+		Fingerprint: burdockledger.Fingerprint(digest.Sum64()),
+		CreatedAt:   createdAt,
 	}
 }
 
-// verdict is what the ledger says of a request with a key: at most one of its
-// fields is set. With none, the request may go on to the queue.
-type verdict struct {
-	job     *job // the first request with the key, whose answer this one gets
+// keyDecision is the decision about a request with a key. At most one field is set; if
+// none is, the request is queued.
+type keyDecision struct {
+	job     *job // of the first request with the key, whose answer this one gets
 	refused *refused
 	cut     *cut
 }
 
-// checkKey asks the ledger. The agent's lock is held.
+// checkKey decides about a request with a key. The agent's lock must be held.
 //
-// Failure: a caller loses its answer, or an entry dies, and the caller asks
-// again with the same key, through any entry. Symptom without this: a second
-// run, and two letters. Only the home of a key runs it, and it remembers, so
-// the repeat gets the first answer, or is told that nobody can know it.
-func (a *Agent) checkKey(req *burdockwire.RunRequest) verdict {
-	ask := askOf(req)
-	slot := burdockledger.SlotOf(ask.Key)
-	if !a.keyed.ledger.OwnsSlot(slot) || a.keyed.moving[slot] || !a.deps.Verified() {
-		return verdict{refused: &refused{
+// A caller that lost its answer, for example because an entry died, repeats the request
+// with the same key through any entry. Without this check the request runs twice, which
+// may send a letter twice. Only the owner of a key's slot runs the key, and it records
+// that it did. A repeat therefore gets the first answer, or learns that the outcome is
+// unknown.
+func (a *Agent) checkKey(req *burdockwire.RunRequest) keyDecision {
+	keyed := keyedRequestOf(req)
+	slot := burdockledger.SlotOf(keyed.Key)
+	if !a.keys.ledger.OwnsSlot(slot) || a.keys.handingOver[slot] || !a.deps.Verified() {
+		return keyDecision{refused: &refused{
 			reason:      burdockwire.RefusedReason_REFUSED_REASON_KEY_NOT_HERE,
-			retryAfter:  homeRetry,
+			retryAfter:  ownerRetryAfter,
 			explanation: "this agent is not the home of the key now",
 		}}
 	}
-	switch d := a.keyed.ledger.Decide(a.deps.Clock.Now(), ask).(type) {
+	switch d := a.keys.ledger.Decide(a.deps.Clock.Now(), keyed).(type) {
 	case burdockledger.Attach:
 		return a.attachKey(d)
 	case burdockledger.MayHaveRun:
-		return verdict{cut: &cut{
+		return keyDecision{cut: &cut{
 			reason:      burdockwire.CutReason_CUT_REASON_KEY_MAY_HAVE_RUN,
 			explanation: "the key may have run before its present home took over",
 		}}
 	case burdockledger.Reused:
-		return verdict{refused: &refused{
+		return keyDecision{refused: &refused{
 			reason:      burdockwire.RefusedReason_REFUSED_REASON_KEY_REUSED,
 			explanation: "the idempotency key came before, with another request",
 		}}
 	}
-	return verdict{}
+	return keyDecision{}
 }
 
-func (a *Agent) attachKey(d burdockledger.Attach) verdict {
+func (a *Agent) attachKey(d burdockledger.Attach) keyDecision {
 	if j, ok := a.jobs[d.Request]; ok {
-		return verdict{job: j}
+		return keyDecision{job: j}
 	}
 	if d.Outcome == burdockledger.OutcomeAnswered {
-		return verdict{cut: &cut{
+		return keyDecision{cut: &cut{
 			reason:      burdockwire.CutReason_CUT_REASON_ANSWER_GONE,
 			explanation: "the key's request ran to its end, and its answer is no longer kept",
 		}}
 	}
-	return verdict{cut: &cut{
+	return keyDecision{cut: &cut{
 		reason:      burdockwire.CutReason_CUT_REASON_KEY_MAY_HAVE_RUN,
 		explanation: "the key's request was begun, and its outcome is unknown",
 	}}
 }
 
-// forgetKey lets the key of a request that was not run come again.
-func (a *Agent) forgetKey(req *burdockwire.RunRequest) {
+// recordKeyNotRun records that a request was not run, so that its key may run later.
+func (a *Agent) recordKeyNotRun(req *burdockwire.RunRequest) {
 	if req.GetIdempotencyKey() != "" {
-		a.keyed.ledger.RecordNotRun(keyOf(req), burdockid.Request(req.GetRequestId()))
+		a.keys.ledger.RecordNotRun(keyOf(req), burdockid.Request(req.GetRequestId()))
 	}
 }
 
-// endKey records what became of a key's request.
-func (a *Agent) endKey(j *job, o outcome) {
+// recordKeyOutcome records the outcome of a request with a key in the ledger.
+func (a *Agent) recordKeyOutcome(j *job, o outcome) {
 	if j.request.GetIdempotencyKey() == "" {
 		return
 	}
 	key := keyOf(j.request)
 	switch o.(type) {
 	case ended:
-		a.keyed.ledger.RecordOutcome(key, j.id, burdockledger.OutcomeAnswered)
+		a.keys.ledger.RecordOutcome(key, j.id, burdockledger.OutcomeAnswered)
 	case refused:
-		a.keyed.ledger.RecordNotRun(key, j.id)
+		a.keys.ledger.RecordNotRun(key, j.id)
 	case cut:
-		a.keyed.ledger.RecordOutcome(key, j.id, burdockledger.OutcomeUnknown)
+		a.keys.ledger.RecordOutcome(key, j.id, burdockledger.OutcomeUnknown)
 	}
 }
 
-// trimAnswers drops the oldest answers that are kept for repeats, beyond the
-// bound on their bytes.
-func (a *Agent) trimAnswers() {
-	for a.keptBytes() > keepAnswerBytes {
-		oldest := a.oldestKept()
+// evictAnswers deletes the oldest answers that are only kept for repeated keys, until the
+// rest is within maxRetainedBytes.
+func (a *Agent) evictAnswers() {
+	for a.retainedBytes() > maxRetainedBytes {
+		oldest := a.oldestRetained()
 		if oldest == nil {
 			return
 		}
@@ -224,20 +229,20 @@
 	}
 }
 
-func (a *Agent) keptBytes() int64 {
+func (a *Agent) retainedBytes() int64 {
 	var total int64
 	for _, j := range a.jobs {
-		if j.isKept() {
-			total += j.bytes()
+		if j.isRetained() {
+			total += j.bufferedBytes()
 		}
 	}
 	return total
 }
 
-func (a *Agent) oldestKept() *job {
+func (a *Agent) oldestRetained() *job {
 	var oldest *job
 	for _, j := range a.jobs {
-		if j.isKept() && (oldest == nil || j.arrived < oldest.arrived) {
+		if j.isRetained() && (oldest == nil || j.arrived < oldest.arrived) {
 			oldest = j
 		}
 	}
@@ -249,6 +254,6 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	slot := burdockledger.Slot(req.Msg.GetSlot())
-	taken := !a.draining && slot >= 0 && slot < burdockledger.SlotCount && a.keyed.take(slot, req.Msg)
+	taken := !a.draining && slot >= 0 && slot < burdockledger.SlotCount && a.keys.addOffer(slot, req.Msg)
 	return connect.NewResponse(&burdockwire.TakeKeysResponse{Taken: taken, Incarnation: string(a.incarnation)}), nil
 }
--- a/internal/serve/burdockagent/policy.go
+++ b/internal/serve/burdockagent/policy.go
@@ -9,20 +9,20 @@
 	"burdockbend.example/burdockbend/internal/state/burdockfleet"
 )
 
-// policy is what the profile in force says to this agent.
+// policy contains the settings of the profile in force that apply to this agent.
 type policy struct {
-	digest  burdockconfig.Digest
-	service burdockid.Service
-	stop    burdockprofile.Stop
-	queue   burdockqueue.Config
-	classes map[string]burdockqueue.Class
-	usual   burdockqueue.Class // for a request that names none
+	digest       burdockconfig.Digest
+	service      burdockid.Service
+	stop         burdockprofile.Stop
+	queue        burdockqueue.Config
+	classes      map[string]burdockqueue.Class
+	defaultClass burdockqueue.Class // for a request that names no known class
 }
 
-// slotsPerKept is how many slots there are for each one that is kept for the
-// most urgent class. One in eight lets a burst of urgent work start at once;
-// docs/design/queue.md has what other numbers do.
-const slotsPerKept = 8
+// slotsPerReservedSlot is the number of engine slots for each one that is reserved for
+// the most urgent class. One in eight lets a burst of urgent requests start at once;
+// docs/design/queue.md shows the effect of other values.
+const slotsPerReservedSlot = 8
 
 func policyOf(cfg Config, fleet *burdockfleet.Snapshot) policy {
 	service := cfg.Service
@@ -51,32 +51,32 @@
 		})
 	}
 	if len(p.queue.Classes) > 1 {
-		p.queue.Classes[0].ReservedSlots = cfg.Slots / slotsPerKept
+		p.queue.Classes[0].ReservedSlots = cfg.Slots / slotsPerReservedSlot
 	}
 	for _, share := range profile.Shares {
 		p.queue.Shares[share.Customer] = share.Share
 	}
-	p.usual = p.classes[profile.DefaultClass]
+	p.defaultClass = p.classes[profile.DefaultClass]
 	return p
 }
 
-// class returns the class that a request names, or the default: entry and
-// agent may hold the profile in different versions for a moment.
+// class returns the class that a request names, or the default class if it is not in the
+// profile. Entry and agent may have different versions of the profile for a moment.
 func (p policy) class(name string) burdockqueue.Class {
 	if class, ok := p.classes[name]; ok {
 		return class
 	}
-	return p.usual
+	return p.defaultClass
 }
 
-// mostLeft bounds the time left of a request, as profiles do. Beyond some 292 years a span does
-// not fit the standard library's type, and would count as passed.
-const mostLeft = 24 * burdockclock.Hour
+// maxTimeout limits the timeout of a request, as profiles do. A timeout of more than
+// about 292 years would overflow time.Duration and count as expired.
+const maxTimeout = 24 * burdockclock.Hour
 
-// deadline converts the time left of a request to an instant; 0 is none.
-func deadline(now, left burdockclock.Millis) burdockclock.Millis {
-	if left <= 0 {
+// deadline returns the time at which a request's timeout expires; 0 if it has none.
+func deadline(now, timeout burdockclock.Millis) burdockclock.Millis {
+	if timeout <= 0 {
 		return 0
 	}
-	return now + min(left, mostLeft)
+	return now + min(timeout, maxTimeout)
 }
--- a/internal/serve/burdockagent/rpc.go
+++ b/internal/serve/burdockagent/rpc.go
@@ -13,27 +13,27 @@
 	"connectrpc.com/connect"
 )
 
-// clockMargin covers the rounding of spans that two processes measured.
-const clockMargin = burdockclock.Second
+// ageMargin allows for the rounding of durations that two processes measured.
+const ageMargin = burdockclock.Second
 
 // Run implements burdockwire.AgentServiceHandler.
 func (a *Agent) Run(ctx context.Context, req *connect.Request[burdockwire.RunRequest], stream *connect.ServerStream[burdockwire.RunEvent]) error {
 	a.deps.OnConfigDigest(burdockconfig.Digest(req.Msg.GetConfigDigest()))
-	j, no := a.admit(req.Msg)
-	if no != nil {
-		return stream.Send(no)
+	j, final := a.admit(req.Msg)
+	if final != nil {
+		return stream.Send(final)
 	}
-	return a.follow(ctx, req.Msg.GetRequestId(), j, 0, stream)
+	return a.streamJob(ctx, req.Msg.GetRequestId(), j, 0, stream)
 }
 
 // Attach implements burdockwire.AgentServiceHandler.
 func (a *Agent) Attach(ctx context.Context, req *connect.Request[burdockwire.AttachRequest], stream *connect.ServerStream[burdockwire.RunEvent]) error {
-	a.meters.attachments.Inc()
-	j, no := a.find(req.Msg)
-	if no != nil {
-		return stream.Send(no)
+	a.metrics.attachments.Inc()
+	j, final := a.findForAttach(req.Msg)
+	if final != nil {
+		return stream.Send(final)
 	}
-	return a.follow(ctx, req.Msg.GetRequestId(), j, req.Msg.GetOffset(), stream)
+	return a.streamJob(ctx, req.Msg.GetRequestId(), j, req.Msg.GetOffset(), stream)
 }
 
 // Cancel implements burdockwire.AgentServiceHandler.
@@ -44,9 +44,9 @@
 	id := burdockid.Request(req.Msg.GetRequestId())
 	if j, ok := a.jobs[id]; ok {
 		a.cancelJob(now, j, cancelCaller)
-	} else if _, repeats := a.aliases[id]; !repeats && a.memory.fate(id) == fateNone {
-		// The cancellation overtook the request. If it comes, it is refused.
-		a.memory.remember(now, id, fateWithdrawn)
+	} else if _, repeats := a.aliases[id]; !repeats && a.recent.status(id) == statusUnknown {
+		// The cancellation overtook the request, which is refused if it still arrives.
+		a.recent.record(now, id, statusWithdrawn)
 	}
 	return connect.NewResponse(&burdockwire.CancelResponse{}), nil
 }
@@ -56,37 +56,37 @@
 	reachable := a.deps.Engine.Check(ctx) == nil
 	return connect.NewResponse(&burdockwire.DescribeResponse{
 		Upstream:          string(a.cfg.Upstream),
-		Load:              a.lockedLoad(),
+		Load:              a.load(),
 		UpstreamReachable: reachable,
 	}), nil
 }
 
-// admit decides about a request that an entry offers. It returns the job to
-// follow, or the event that says no.
+// admit decides about a request that an entry offers. It returns the job whose answer the
+// entry gets, or the final event if there is no such job.
 func (a *Agent) admit(req *burdockwire.RunRequest) (*job, *burdockwire.RunEvent) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.deps.Clock.Boot()
 	id := burdockid.Request(req.GetRequestId())
 	a.counts.Offered++
-	a.meters.offered.Inc()
-	a.followConfig(now)
-	if no := a.precheck(req, id); no != nil {
-		a.countRefusal(no.reason)
-		return nil, a.refusal(req.GetRequestId(), *no)
+	a.metrics.offered.Inc()
+	a.applyConfig(now)
+	if refusal := a.precheck(req, id); refusal != nil {
+		a.countRefusal(refusal.reason)
+		return nil, a.refusedEvent(req.GetRequestId(), *refusal)
 	}
-	if a.cameBefore(id) {
+	if a.isDuplicate(id) {
 		a.counts.Cut++
-		a.meters.cut.Inc()
-		return nil, cutEventOf(req.GetRequestId(), cameTwice, a.load())
+		a.metrics.cut.Inc()
+		return nil, newCutEvent(req.GetRequestId(), duplicateOffer, a.loadLocked())
 	}
 	if req.GetIdempotencyKey() != "" {
-		if v := a.checkKey(req); v != (verdict{}) {
-			return a.repeat(now, req, v)
+		if decision := a.checkKey(req); decision != (keyDecision{}) {
+			return a.replyForKey(now, req, decision)
 		}
 	}
 	j := newJob(req, now, a.deps.Clock)
-	work := burdockqueue.Request{
+	queueRequest := burdockqueue.Request{
 		ID:       id,
 		Customer: burdockid.Customer(req.GetCustomer()),
 		Class:    a.policy.class(req.GetPriorityClass()),
@@ -94,94 +94,94 @@
 		Arrived:  now,
 		Deadline: j.deadline,
 	}
-	switch d := a.queue.Offer(now, work).(type) {
+	switch d := a.queue.Offer(now, queueRequest).(type) {
 	case burdockqueue.Start:
 		a.jobs[id] = j
 		a.startJob(j)
 	case burdockqueue.Wait:
 		a.jobs[id] = j
-		j.step(burdockcharts.RequestEventEnqueue)
+		j.fire(burdockcharts.RequestEventEnqueue)
 	case burdockqueue.Refuse:
-		a.countRefusal(reasonOf(d.Reason))
-		a.memory.remember(now, id, fateNotRun)
-		a.forgetKey(req)
-		no := refused{reason: reasonOf(d.Reason), retryAfter: d.RetryAfter, explanation: d.Reason.String()}
-		return nil, a.refusal(req.GetRequestId(), no)
+		a.countRefusal(wireReason(d.Reason))
+		a.recent.record(now, id, statusNotRun)
+		a.recordKeyNotRun(req)
+		refusal := refused{reason: wireReason(d.Reason), retryAfter: d.RetryAfter, explanation: d.Reason.String()}
+		return nil, a.refusedEvent(req.GetRequestId(), refusal)
 	}
-	a.drive(now)
+	a.applyQueueEvents(now)
 	return j, nil
 }
 
-// cameTwice answers an offer that came before. To refuse it would say that the
-// request did not run, while the first offer of it may run right now.
-var cameTwice = cut{
+// duplicateOffer is the outcome of an offer that arrived before. A refusal would claim
+// that the request did not run, although it may be running because of the first offer.
+var duplicateOffer = cut{
 	reason:      burdockwire.CutReason_CUT_REASON_UNKNOWN_REQUEST,
 	explanation: "the same offer came before, and may have run",
 }
 
-// cameBefore reports whether an offer is a message that came twice.
-func (a *Agent) cameBefore(id burdockid.Request) bool {
-	return a.jobs[id] != nil || a.aliases[id] != nil || a.memory.fate(id) == fateMayHaveRun
+// isDuplicate reports whether the offer of a request arrived before and may have run.
+func (a *Agent) isDuplicate(id burdockid.Request) bool {
+	return a.jobs[id] != nil || a.aliases[id] != nil || a.recent.status(id) == statusMayHaveRun
 }
 
-// repeat answers a request whose key decides what becomes of it.
-func (a *Agent) repeat(now burdockclock.Millis, req *burdockwire.RunRequest, v verdict) (*job, *burdockwire.RunEvent) {
+// replyForKey replies to a request that is not queued because of its key.
+func (a *Agent) replyForKey(now burdockclock.Millis, req *burdockwire.RunRequest, decision keyDecision) (*job, *burdockwire.RunEvent) {
 	id := burdockid.Request(req.GetRequestId())
 	switch {
-	case v.job != nil:
+	case decision.job != nil:
 		a.counts.Repeated++
-		a.meters.repeated.Inc()
-		a.aliases[id] = v.job
-		return v.job, nil
-	case v.refused != nil:
-		a.countRefusal(v.refused.reason)
-		a.memory.remember(now, id, fateNotRun)
-		return nil, a.refusal(req.GetRequestId(), *v.refused)
+		a.metrics.repeated.Inc()
+		a.aliases[id] = decision.job
+		return decision.job, nil
+	case decision.refused != nil:
+		a.countRefusal(decision.refused.reason)
+		a.recent.record(now, id, statusNotRun)
+		return nil, a.refusedEvent(req.GetRequestId(), *decision.refused)
 	default:
 		a.counts.Cut++
-		a.meters.cut.Inc()
-		return nil, cutEventOf(req.GetRequestId(), *v.cut, a.load())
+		a.metrics.cut.Inc()
+		return nil, newCutEvent(req.GetRequestId(), *decision.cut, a.loadLocked())
 	}
 }
 
-// precheck refuses what must not reach the queue.
+// precheck returns the refusal of a request that must not be queued, or nil.
 func (a *Agent) precheck(req *burdockwire.RunRequest, id burdockid.Request) *refused {
 	switch {
 	case req.GetUpstream() != string(a.cfg.Upstream):
-		// The entry's address for that upstream now belongs to this one.
+		// The address at which the entry looks for that upstream now belongs to this one.
 		return &refused{reason: burdockwire.RefusedReason_REFUSED_REASON_WRONG_UPSTREAM, explanation: "this is upstream " + string(a.cfg.Upstream)}
-	case a.memory.fate(id) == fateWithdrawn:
-		// A message that came late. The entry was told "not run", and may have
-		// offered the request elsewhere.
+	case a.recent.status(id) == statusWithdrawn:
+		// The offer was delayed. The entry was told "not run" and may have offered the
+		// request to another upstream.
 		return &refused{reason: burdockwire.RefusedReason_REFUSED_REASON_WITHDRAWN, explanation: "the request was withdrawn"}
-	case req.GetMaxLoad() > 0 && a.busy(req.GetMaxLoad()):
+	case req.GetMaxLoad() > 0 && a.exceedsLoad(req.GetMaxLoad()):
 		return &refused{reason: burdockwire.RefusedReason_REFUSED_REASON_BUSY, explanation: "loaded beyond the bound of the offer"}
 	}
 	return nil
 }
 
-// busy reports whether the agent, with one request more, would be loaded beyond
-// the bound of an offer.
-func (a *Agent) busy(bound float64) bool {
+// exceedsLoad reports whether one more request would raise the agent's load above the
+// bound of an offer, in requests per engine slot.
+func (a *Agent) exceedsLoad(bound float64) bool {
 	l := a.queue.Load()
-	withThis := l.Running + l.Queued + 1
-	return float64(withThis) > bound*float64(max(l.Slots, 1))
+	total := l.Running + l.Queued + 1
+	return float64(total) > bound*float64(max(l.Slots, 1))
 }
 
-func (a *Agent) refusal(id string, no refused) *burdockwire.RunEvent {
-	return refusedEvent(id, no, a.load())
+func (a *Agent) refusedEvent(id string, refusal refused) *burdockwire.RunEvent {
+	return newRefusedEvent(id, refusal, a.loadLocked())
 }
 
-func refusedEvent(id string, no refused, load *burdockwire.Load) *burdockwire.RunEvent {
+func newRefusedEvent(id string, refusal refused, load *burdockwire.Load) *burdockwire.RunEvent {
 	return &burdockwire.RunEvent{RequestId: id, Event: &burdockwire.RunEvent_Refused{Refused: &burdockwire.Refused{
-		Reason:           no.reason,
-		RetryAfterMillis: int64(no.retryAfter),
-		Explanation:      no.explanation,
+		Reason:           refusal.reason,
+		RetryAfterMillis: int64(refusal.retryAfter),
+		Explanation:      refusal.explanation,
 		Load:             load,
 	}}}
 }
 
-func cutEventOf(id string, c cut, load *burdockwire.Load) *burdockwire.RunEvent {
+func newCutEvent(id string, c cut, load *burdockwire.Load) *burdockwire.RunEvent {
 	return &burdockwire.RunEvent{RequestId: id, Event: &burdockwire.RunEvent_Cut{Cut: &burdockwire.Cut{
 		Reason:      c.reason,
 		Explanation: c.explanation,
@@ -189,9 +189,9 @@
 	}}}
 }
 
-// held returns the job that a request's answer comes from: its own, or that of
-// the first request with its key.
-func (a *Agent) held(id burdockid.Request) (*job, bool) {
+// jobFor returns the job whose answer a request gets: its own job, or that of the first
+// request with the same key.
+func (a *Agent) jobFor(id burdockid.Request) (*job, bool) {
 	if j, ok := a.jobs[id]; ok {
 		return j, true
 	}
@@ -199,57 +199,58 @@
 	return j, ok
 }
 
-// find returns the job that an entry wants to go on with, or the event that
-// says what became of it.
+// findForAttach returns the job to which an entry wants to attach, or the final event if
+// there is no such job.
 //
-// Failure: the connection on which a request was offered broke or went silent
-// before any event. Symptom: the entry can't tell whether the request runs. If
-// this agent has been up and remembering since before the offer and doesn't
-// know the request, it never had it; the withdrawal makes sure that it will
-// not run if it still comes. Only then "not run" is the truth.
-func (a *Agent) find(req *burdockwire.AttachRequest) (*job, *burdockwire.RunEvent) {
+// If the connection of an offer breaks or stops responding before the first event, the
+// entry does not know whether the request runs. If this agent has been up since before
+// the offer, has kept all statuses since then and doesn't know the request, it never
+// received it. It then records the request as withdrawn, so that a delayed offer does not
+// run. Only then is "not run" certain to be true.
+func (a *Agent) findForAttach(req *burdockwire.AttachRequest) (*job, *burdockwire.RunEvent) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	id := burdockid.Request(req.GetRequestId())
-	if j, ok := a.held(id); ok {
+	if j, ok := a.jobFor(id); ok {
 		return j, nil
 	}
 	now := a.deps.Clock.Boot()
-	offered := now - burdockclock.Millis(req.GetAgeMillis()) - clockMargin
-	known := a.memory.fate(id)
-	sane := req.GetAgeMillis() >= 0 // a negative age would put the offer in the future
-	if known == fateNone && sane && offered > a.started && a.memory.reaches(offered) {
-		a.memory.remember(now, id, fateWithdrawn)
-		known = fateWithdrawn
+	offeredAt := now - burdockclock.Millis(req.GetAgeMillis()) - ageMargin
+	status := a.recent.status(id)
+	validAge := req.GetAgeMillis() >= 0 // with a negative age, the offer would be in the future
+	if status == statusUnknown && validAge && offeredAt > a.started && a.recent.completeSince(offeredAt) {
+		a.recent.record(now, id, statusWithdrawn)
+		status = statusWithdrawn
 	}
-	if known == fateWithdrawn || known == fateNotRun {
-		no := refused{reason: burdockwire.RefusedReason_REFUSED_REASON_WITHDRAWN, explanation: "never handed to the upstream"}
-		return nil, a.refusal(req.GetRequestId(), no)
+	if status == statusWithdrawn || status == statusNotRun {
+		refusal := refused{reason: burdockwire.RefusedReason_REFUSED_REASON_WITHDRAWN, explanation: "never handed to the upstream"}
+		return nil, a.refusedEvent(req.GetRequestId(), refusal)
 	}
 	c := cut{reason: burdockwire.CutReason_CUT_REASON_UNKNOWN_REQUEST, explanation: "this agent does not hold the request"}
-	return nil, cutEventOf(req.GetRequestId(), c, a.load())
+	return nil, newCutEvent(req.GetRequestId(), c, a.loadLocked())
 }
 
-// follow sends a job's events from an offset on until its end. The id is that
-// of the asking request: one that repeats a key gets another's answer.
-func (a *Agent) follow(ctx context.Context, id string, j *job, offset int64, stream *connect.ServerStream[burdockwire.RunEvent]) error {
-	r := j.join()
-	defer j.leave(r)
+// streamJob sends a job's events, beginning at an offset of the answer, until the job has
+// ended. The id is that of the entry's request, which differs from the job's if the
+// request repeats a key.
+func (a *Agent) streamJob(ctx context.Context, id string, j *job, offset int64, stream *connect.ServerStream[burdockwire.RunEvent]) error {
+	r := j.addReader()
+	defer j.removeReader(r)
 	s := sender{agent: a, id: id, job: j, stream: stream, offset: offset}
-	if err := s.admitted(); err != nil {
+	if err := s.sendAdmitted(); err != nil {
 		return err
 	}
-	heartbeat := time.NewTicker(heartbeatEvery)
+	heartbeat := time.NewTicker(heartbeatInterval)
 	defer heartbeat.Stop()
 	for {
-		done, err := s.sendNew()
+		done, err := s.sendPending()
 		if done || err != nil {
 			return err
 		}
 		select {
 		case <-r.wake:
 		case <-heartbeat.C:
-			if err := s.heartbeat(); err != nil {
+			if err := s.sendHeartbeat(); err != nil {
 				return err
 			}
 		case <-ctx.Done():
--- a/internal/serve/burdockagent/run.go
+++ b/internal/serve/burdockagent/run.go
@@ -18,40 +18,40 @@
 )
 
 const (
-	readBufferBytes = 16 << 10
-	requestIDHeader = "Burdock-Request-Id"
-	customerHeader  = "Burdock-Customer"
-	eventStreamType = "text/event-stream"
-	upstreamRetry   = burdockclock.Second
-	endMark         = "[DONE]"
-	// endMarkTail is how much of the end of an answer is searched for the mark.
-	endMarkTail = 32
-	// bytesPerToken is a usual size of a token in an answer that doesn't count
-	// them, so that the queue learns a rate from it.
+	readBufferBytes    = 16 << 10
+	requestIDHeader    = "Burdock-Request-Id"
+	customerHeader     = "Burdock-Customer"
+	eventStreamType    = "text/event-stream"
+	upstreamRetryAfter = burdockclock.Second
+	streamEndMark      = "[DONE]"
+	// endMarkTailBytes is how much of the end of an answer is searched for the end mark.
+	endMarkTailBytes = 32
+	// bytesPerToken is a typical size of a token. It gives an estimate for answers whose
+	// tokens can't be counted, from which the queue learns its service rate.
 	bytesPerToken = 4
 )
 
-// errGivenUp says that a job ended while its answer still came in.
-var errGivenUp = errors.New("given up")
+// errJobEnded means that the job ended while its answer was still being received.
+var errJobEnded = errors.New("given up")
 
-// runner carries one job out on the engine.
+// runner runs one job on the engine.
 type runner struct {
-	agent *Agent
-	job   *job
-	tail  []byte
-	marks int
+	agent  *Agent
+	job    *job
+	tail   []byte
+	events int
 }
 
-// startJob begins a job that the queue gave a slot. The agent's lock is held.
+// startJob starts a job that the queue gave an engine slot. The agent's lock must be held.
 func (a *Agent) startJob(j *job) {
 	ctx, cancel := context.WithCancel(context.Background())
-	if left := j.deadline - a.deps.Clock.Boot(); j.deadline > 0 {
-		ctx, cancel = context.WithTimeout(context.Background(), left.Duration())
+	if remaining := j.deadline - a.deps.Clock.Boot(); j.deadline > 0 {
+		ctx, cancel = context.WithTimeout(context.Background(), remaining.Duration())
 	}
 	j.mu.Lock()
 	j.cancel = cancel
 	j.startedAt = a.deps.Clock.Boot()
-	j.fire(burdockcharts.RequestEventStart)
+	j.fireLocked(burdockcharts.RequestEventStart)
 	j.mu.Unlock()
 	r := &runner{agent: a, job: j}
 	go r.run(ctx)
@@ -63,50 +63,50 @@
 	r.agent.finish(r.job, o)
 }
 
-// execute hands the request over and reads the answer.
+// execute sends the request to the engine and reads the answer.
 func (r *runner) execute(ctx context.Context) outcome {
-	call := callOf(r.job.request)
-	call.BeforeSend = func() { r.job.step(burdockcharts.RequestEventHandOver) }
+	call := engineCall(r.job.request)
+	call.BeforeSend = func() { r.job.fire(burdockcharts.RequestEventHandOver) }
 	answer, err := r.agent.deps.Engine.Do(ctx, call)
 	if err != nil {
-		return r.failure(ctx, err)
+		return r.outcomeOfError(ctx, err)
 	}
 	defer func() { _ = answer.Body.Close() }()
-	r.job.begin(headOf(answer))
+	r.job.setHead(responseHead(answer))
 	buffer := make([]byte, readBufferBytes)
 	for {
 		n, err := answer.Body.Read(buffer)
 		if n > 0 {
-			r.note(buffer[:n])
-			if !r.job.add(ctx, buffer[:n]) {
-				return r.failure(ctx, errGivenUp)
+			r.inspect(buffer[:n])
+			if !r.job.appendData(ctx, buffer[:n]) {
+				return r.outcomeOfError(ctx, errJobEnded)
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			return r.completion(answer)
+			return r.outcomeAtEOF(answer)
 		}
 		if err != nil {
-			return r.failure(ctx, err)
+			return r.outcomeOfError(ctx, err)
 		}
 	}
 }
 
-// note keeps the end of the answer and counts its events.
-func (r *runner) note(data []byte) {
-	r.marks += bytes.Count(data, []byte("\n\n"))
-	r.tail = append(r.tail, data[max(0, len(data)-endMarkTail):]...)
-	r.tail = r.tail[max(0, len(r.tail)-endMarkTail):]
+// inspect keeps the end of the answer and counts its events.
+func (r *runner) inspect(data []byte) {
+	r.events += bytes.Count(data, []byte("\n\n"))
+	r.tail = append(r.tail, data[max(0, len(data)-endMarkTailBytes):]...)
+	r.tail = r.tail[max(0, len(r.tail)-endMarkTailBytes):]
 }
 
-// completion tells a whole answer from one that only stopped.
+// outcomeAtEOF decides whether an answer that ended without an error is whole.
 //
-// An engine that dies can close its connection in good order. The answer then
-// looks whole to HTTP, and the caller would take half an explanation for all
-// of it. An event stream is whole only with its end mark, any other answer
-// only when it states where it ends.
-func (r *runner) completion(answer burdockengine.Answer) outcome {
+// An engine that dies may close its connection properly. A truncated answer then looks
+// complete to HTTP, and the caller would take a part of the answer for all of it. An event
+// stream is therefore whole only with its end mark, and any other answer only if its
+// framing shows where it ends.
+func (r *runner) outcomeAtEOF(answer burdockengine.Answer) outcome {
 	stream := answer.Status == http.StatusOK && strings.HasPrefix(answer.Header.Get("Content-Type"), eventStreamType)
-	marked := strings.HasSuffix(strings.TrimSpace(string(r.tail)), endMark)
+	marked := strings.HasSuffix(strings.TrimSpace(string(r.tail)), streamEndMark)
 	if r.job.request.GetEventStream() && stream && !marked {
 		return cut{reason: burdockwire.CutReason_CUT_REASON_UPSTREAM_BROKE, explanation: "the stream ended without its end mark"}
 	}
@@ -115,44 +115,45 @@
 	}
 	r.job.mu.Lock()
 	defer r.job.mu.Unlock()
-	r.job.served = r.tokens()
-	return ended{total: r.job.total()}
+	r.job.servedTokens = r.estimateTokens()
+	return ended{totalBytes: r.job.totalBytes()}
 }
 
-// tokens estimates what the request cost, for the queue's measured rate.
-func (r *runner) tokens() burdockid.Tokens {
+// estimateTokens estimates the tokens of the request and its answer, from which the queue
+// measures its service rate.
+func (r *runner) estimateTokens() burdockid.Tokens {
 	prompt := burdockid.Tokens(r.job.request.GetPromptTokens())
 	if r.job.request.GetEventStream() {
-		return prompt + burdockid.Tokens(r.marks)
+		return prompt + burdockid.Tokens(r.events)
 	}
-	return prompt + burdockid.Tokens(r.job.total()/bytesPerToken+1)
+	return prompt + burdockid.Tokens(r.job.totalBytes()/bytesPerToken+1)
 }
 
-// failure says what an error of the engine means for the caller. Only when no
-// byte was sent is "not run" the truth.
-func (r *runner) failure(ctx context.Context, err error) outcome {
+// outcomeOfError returns the outcome for an error of the engine. A request is refused,
+// that is reported as "not run", only if no byte of it was sent.
+func (r *runner) outcomeOfError(ctx context.Context, err error) outcome {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded) && errorx.IsOfType(err, burdockengine.ErrNotSent):
 		return refused{reason: burdockwire.RefusedReason_REFUSED_REASON_DEADLINE, explanation: "deadline passed"}
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return cut{reason: burdockwire.CutReason_CUT_REASON_DEADLINE, explanation: "deadline passed"}
-	case ctx.Err() != nil || errors.Is(err, errGivenUp):
+	case ctx.Err() != nil || errors.Is(err, errJobEnded):
 		return cut{reason: burdockwire.CutReason_CUT_REASON_CANCELLED, explanation: "given up"}
 	case errorx.IsOfType(err, burdockengine.ErrNotSent):
 		return refused{
 			reason:      burdockwire.RefusedReason_REFUSED_REASON_UPSTREAM_DOWN,
-			retryAfter:  upstreamRetry,
+			retryAfter:  upstreamRetryAfter,
 			explanation: "no connection to the upstream",
 		}
 	default:
-		// The error names inner addresses, which callers must not see.
+		// The error contains internal addresses, which callers must not see.
 		r.agent.deps.Log.Warn("upstream broke off", zap.String("requestId", string(r.job.id)), zap.Error(err))
 		return cut{reason: burdockwire.CutReason_CUT_REASON_UPSTREAM_BROKE, explanation: "the upstream broke off"}
 	}
 }
 
-// callOf converts a request to a call of the upstream.
-func callOf(req *burdockwire.RunRequest) burdockengine.Call {
+// engineCall converts a request to a call of the engine.
+func engineCall(req *burdockwire.RunRequest) burdockengine.Call {
 	header := http.Header{}
 	for _, h := range req.GetHeaders() {
 		header.Add(h.GetName(), h.GetValue())
@@ -168,7 +169,7 @@
 	}
 }
 
-func headOf(answer burdockengine.Answer) *burdockwire.Head {
+func responseHead(answer burdockengine.Answer) *burdockwire.Head {
 	head := &burdockwire.Head{Status: int32(answer.Status)}
 	for name, values := range answer.Header {
 		for _, value := range values {
--- a/internal/serve/burdockagent/sender.go
+++ b/internal/serve/burdockagent/sender.go
@@ -5,7 +5,7 @@
 	"connectrpc.com/connect"
 )
 
-// sender passes the events of one job on to one entry.
+// sender sends the events of one job to one entry.
 type sender struct {
 	agent    *Agent
 	id       string
@@ -15,29 +15,30 @@
 	headSent bool
 }
 
-func (s *sender) admitted() error {
+func (s *sender) sendAdmitted() error {
 	return s.stream.Send(&burdockwire.RunEvent{
 		RequestId: s.id,
 		Event: &burdockwire.RunEvent_Admitted{Admitted: &burdockwire.Admitted{
-			Load: s.agent.lockedLoad(),
+			Load: s.agent.load(),
 		}},
 	})
 }
 
-func (s *sender) heartbeat() error {
+func (s *sender) sendHeartbeat() error {
 	return s.stream.Send(&burdockwire.RunEvent{
 		RequestId: s.id,
 		Event:     &burdockwire.RunEvent_Heartbeat{Heartbeat: &burdockwire.Heartbeat{}},
 	})
 }
 
-// sendNew sends all that is new, and reports whether the job has ended.
-func (s *sender) sendNew() (bool, error) {
+// sendPending sends everything that was not yet sent, and reports whether the stream is
+// complete.
+func (s *sender) sendPending() (bool, error) {
 	for {
-		p := s.job.since(s.offset, s.headSent)
+		p := s.job.progressSince(s.offset, s.headSent)
 		if p.gone {
 			c := cut{reason: burdockwire.CutReason_CUT_REASON_OFFSET_GONE, explanation: "the bytes from there on are no longer kept"}
-			return true, s.stream.Send(cutEventOf(s.id, c, s.agent.lockedLoad()))
+			return true, s.stream.Send(newCutEvent(s.id, c, s.agent.load()))
 		}
 		if err := s.sendHead(p); err != nil {
 			return false, err
@@ -48,7 +49,7 @@
 		if p.outcome != nil {
 			return true, s.sendOutcome(p.outcome)
 		}
-		if len(p.data) < maxChunk {
+		if len(p.data) < maxChunkBytes {
 			return false, nil
 		}
 	}
@@ -74,29 +75,29 @@
 		return err
 	}
 	s.offset += int64(len(p.data))
-	s.job.took(s.offset)
+	s.job.markSent(s.offset)
 	return nil
 }
 
 func (s *sender) sendOutcome(o outcome) error {
-	event := s.outcomeEvent(o)
+	event := s.newOutcomeEvent(o)
 	if err := s.stream.Send(event); err != nil {
 		return err
 	}
-	s.job.deliver()
+	s.job.markDelivered()
 	return nil
 }
 
-func (s *sender) outcomeEvent(o outcome) *burdockwire.RunEvent {
-	id, load := s.id, s.agent.lockedLoad()
+func (s *sender) newOutcomeEvent(o outcome) *burdockwire.RunEvent {
+	id, load := s.id, s.agent.load()
 	switch o := o.(type) {
 	case ended:
-		end := &burdockwire.End{TotalBytes: o.total, Load: load, RanMillis: int64(s.job.ran()), ServedTokens: int64(s.job.served)}
+		end := &burdockwire.End{TotalBytes: o.totalBytes, Load: load, RanMillis: int64(s.job.runTime()), ServedTokens: int64(s.job.servedTokens)}
 		return &burdockwire.RunEvent{RequestId: id, Event: &burdockwire.RunEvent_End{End: end}}
 	case refused:
-		return refusedEvent(id, o, load)
+		return newRefusedEvent(id, o, load)
 	case cut:
-		return cutEventOf(id, o, load)
+		return newCutEvent(id, o, load)
 	}
 	panic("burdockagent: unknown outcome")
 }
--- a/internal/serve/burdockagent/task.go
+++ b/internal/serve/burdockagent/task.go
@@ -8,51 +8,51 @@
 	"burdockbend.example/burdockbend/internal/decide/burdockledger"
 )
 
-// tasksAtOnce is how many slots are worked on beside each other. Load: a
-// leaving agent hands over 64 slots while the store takes a second for each
-// call. Harm: one after another they take two minutes, and the stop as long.
-const tasksAtOnce = 16
-
-// task is one slot's work with other agents and the store.
-type task struct {
-	homes   *KeySlotManager
+// maxParallelTasks is how many slots are handled in parallel. If a draining agent hands
+// over 64 slots one after another while the store takes a second for each call, the
+// handover takes two minutes and delays the stop as long.
+const maxParallelTasks = 16
+
+// slotTask is an action on one slot that needs other agents or the store.
+type slotTask struct {
+	manager *KeySlotManager
 	service burdockid.Service
 	slot    burdockledger.Slot
-	do      action
+	action  slotAction
 }
 
-// action is what a task does: claiming, handing or settling.
-type action interface{ isAction() }
+// slotAction is the action of a task: claimAction, handOverAction or retryAction.
+type slotAction interface{ isSlotAction() }
 
-// claiming writes this agent's name on a slot without a home.
-type claiming struct{ move move }
+// claimAction makes this agent the owner of a slot that has no valid owner.
+type claimAction struct{ ownerWrite ownerWrite }
 
-// handing hands a slot over to another agent.
-type handing struct{}
+// handOverAction hands a slot over to another agent.
+type handOverAction struct{}
 
-// settling tries a write again whose outcome is open.
-type settling struct{ move move }
+// retryAction retries a handover write whose result is unknown.
+type retryAction struct{ ownerWrite ownerWrite }
 
-func (claiming) isAction() {}
-func (handing) isAction()  {}
-func (settling) isAction() {}
+func (claimAction) isSlotAction()    {}
+func (handOverAction) isSlotAction() {}
+func (retryAction) isSlotAction()    {}
 
-// run does the work and tells done.
-func (t task) run(ctx context.Context, done *sync.WaitGroup) {
+// run executes the action and then calls done.Done.
+func (t slotTask) run(ctx context.Context, done *sync.WaitGroup) {
 	defer done.Done()
-	switch do := t.do.(type) {
-	case claiming:
-		t.homes.write(ctx, t.service, t.slot, do.move)
-	case handing:
-		t.homes.handOverSlot(ctx, t.service, t.slot)
-	case settling:
-		t.homes.settle(ctx, t.service, t.slot, do.move)
+	switch action := t.action.(type) {
+	case claimAction:
+		t.manager.write(ctx, t.service, t.slot, action.ownerWrite)
+	case handOverAction:
+		t.manager.handOverSlot(ctx, t.service, t.slot)
+	case retryAction:
+		t.manager.writeHandover(ctx, t.service, t.slot, action.ownerWrite)
 	}
 }
 
-// runAll does the work of all tasks beside each other. They have different
-// slots, so none of them meets another.
-func runAll(ctx context.Context, tasks []task) {
+// runAll runs all tasks in parallel. They have different slots and therefore don't
+// conflict.
+func runAll(ctx context.Context, tasks []slotTask) {
 	var done sync.WaitGroup
 	done.Add(len(tasks))
 	for _, t := range tasks {
