--- a/internal/serve/burdockagent/cluster_test.go
+++ b/internal/serve/burdockagent/cluster_test.go
@@ -38,78 +38,78 @@
 	historyCustomer                   = "composer"
 	clusterSize                       = 3
 	clusterStart                      = 1_800_000_000_000 * burdockclock.Millis(1)
-	homesPause                        = 20 * time.Millisecond
-	lateMost                          = 200 // milliseconds
+	managePause                       = 20 * time.Millisecond
+	maxDelayMillis                    = 200 // of a delayed message
 )
 
-// handoverMemory says whether homes keep what is handed over to them.
-type handoverMemory bool
+// handoverMode states whether agents keep the records that are handed over to them.
+type handoverMode bool
 
 const (
-	faithful  handoverMemory = true
-	forgetful handoverMemory = false
+	keepRecords handoverMode = true
+	dropRecords handoverMode = false
 )
 
-// cluster is several agents with their homes of keys, in one process.
+// cluster is a set of agents that manage the slots of a service, in one process.
 type cluster struct {
-	t       *testing.T
-	clock   *burdockclock.Manual
-	store   *burdockfault.Injector
-	address string // of the store
-	members []*member
-	memory  handoverMemory
-	random  *rand.Rand
-	lateMu  sync.Mutex
-	closing bool // no message is held up any more
-	late    sync.WaitGroup
-	// calls is held for reading during each call. A jump of the clock beyond the
-	// repeat window waits for the calls before it.
+	t         *testing.T
+	clock     *burdockclock.Manual
+	store     *burdockfault.Injector
+	address   string // of the store
+	members   []*member
+	handover  handoverMode
+	random    *rand.Rand
+	delayedMu sync.Mutex
+	closing   bool // messages are no longer delayed
+	delayed   sync.WaitGroup
+	// calls is read-locked during each call, so that the clock jumps beyond the repeat
+	// window only between calls.
 	calls sync.RWMutex
 
-	mu    sync.Mutex
-	keys  [historyKeys]string
-	first [historyKeys]burdockclock.Millis
-	made  int
+	mu        sync.Mutex
+	keys      [historyKeys]string
+	firstUsed [historyKeys]burdockclock.Millis
+	keyCount  int
 }
 
-// member is one upstream, with the agent that is beside it now.
+// member is one upstream with its current agent process.
 type member struct {
 	cluster *cluster
 	name    burdockid.Upstream
 	server  *httptest.Server
 	client  burdockwire.AgentServiceClient
 	engine  *httptest.Server
-	life    atomic.Pointer[life]
+	process atomic.Pointer[agentProcess]
 }
 
-// life is one run of an agent's process.
-type life struct {
+// agentProcess is one run of an agent's process.
+type agentProcess struct {
 	agent   *Agent
 	handler http.Handler
 	view    *burdockconfig.View
 	fleet   *burdockfleet.Fleet
 	watcher *burdocksync.Watcher
-	homes   *KeySlotManager
-	engine  *mortalEngine
+	manager *KeySlotManager
+	engine  *processEngine
 	cancel  context.CancelFunc
 	done    sync.WaitGroup
 }
 
-// mortalEngine is reached by an agent for as long as the agent lives.
-type mortalEngine struct {
+// processEngine is an engine that can be reached until the agent's process is dead.
+type processEngine struct {
 	burdockengine.Engine
 	dead atomic.Bool
 }
 
 // Do implements burdockengine.Engine.
-func (e *mortalEngine) Do(ctx context.Context, call burdockengine.Call) (burdockengine.Answer, error) {
+func (e *processEngine) Do(ctx context.Context, call burdockengine.Call) (burdockengine.Answer, error) {
 	if e.dead.Load() {
 		return burdockengine.Answer{}, burdockengine.ErrNotSent.New("the process is dead")
 	}
 	return e.Engine.Do(ctx, call)
 }
 
-// keyEngine answers each letter with the number of its run.
+// keyEngine records each run in the history and answers with the number of the run.
 type keyEngine struct {
 	history *history
 	mu      sync.Mutex
@@ -122,7 +122,7 @@
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	run := e.history.began(keyCall{
+	run := e.history.recordRun(keyedCall{
 		key: r.Header.Get("Idempotency-Key"), body: string(body), id: burdockid.Request(r.Header.Get(requestIDHeader)),
 	})
 	e.mu.Lock()
@@ -137,10 +137,10 @@
 	_, _ = w.Write(answer)
 }
 
-func startCluster(t *testing.T, seed uint64, memory handoverMemory, h *history) *cluster {
+func startCluster(t *testing.T, seed uint64, handover handoverMode, h *history) *cluster {
 	t.Helper()
 	c := &cluster{
-		t: t, clock: burdockclock.NewManual(clusterStart), memory: memory,
+		t: t, clock: burdockclock.NewManual(clusterStart), handover: handover,
 		random: rand.New(rand.NewPCG(seed, 99)),
 	}
 	c.store = burdockfault.NewInjector(burdockfakestore.New(c.clock.Clock()))
@@ -163,9 +163,9 @@
 	for _, m := range c.members {
 		m.start()
 	}
-	waitFor(t, "every slot has a home", func() bool {
+	waitFor(t, "every slot has an owner", func() bool {
 		c.clock.Advance(burdockclock.Second)
-		return settledHomes(c.members[0].fleet().Now().Homes[historyService])
+		return allSlotsOwned(c.members[0].fleet().Now().Homes[historyService])
 	})
 	return c
 }
@@ -183,26 +183,26 @@
 	}
 }
 
-// key returns the i-th key that callers use now. It gives way to a new one
-// when callers have repeated it for long enough. Every other one is dated.
+// key returns the i-th key that callers use now. A key is replaced by a new one after
+// repeatPeriod. Every other key contains its creation time.
 func (c *cluster) key(i int) string {
 	now := c.clock.Clock().Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.keys[i] == "" || now-c.first[i] > historyRepeat {
-		c.made++
-		c.first[i] = now
-		c.keys[i] = fmt.Sprint("letter ", c.made)
+	if c.keys[i] == "" || now-c.firstUsed[i] > repeatPeriod {
+		c.keyCount++
+		c.firstUsed[i] = now
+		c.keys[i] = fmt.Sprint("letter ", c.keyCount)
 		if i%2 == 0 {
 			digits := fmt.Sprintf("%012x", int64(now))
-			c.keys[i] = fmt.Sprintf("%s-%s-7abc-8def-%012x", digits[:8], digits[8:], c.made)
+			c.keys[i] = fmt.Sprintf("%s-%s-7abc-8def-%012x", digits[:8], digits[8:], c.keyCount)
 		}
 	}
 	return c.keys[i]
 }
 
-// disturb brings faults about until the context ends.
-func (c *cluster) disturb(ctx context.Context) {
+// injectFaults injects faults until the context ends.
+func (c *cluster) injectFaults(ctx context.Context) {
 	for ctx.Err() == nil {
 		time.Sleep(time.Duration(c.random.IntN(60)) * time.Millisecond)
 		m := c.members[c.random.IntN(len(c.members))]
@@ -229,129 +229,128 @@
 }
 
 func (c *cluster) close() {
-	c.lateMu.Lock()
+	c.delayedMu.Lock()
 	c.closing = true
-	c.lateMu.Unlock()
-	c.late.Wait()
+	c.delayedMu.Unlock()
+	c.delayed.Wait()
 	for _, m := range c.members {
 		m.kill()
 	}
 }
 
-func (m *member) fleet() *burdockfleet.Fleet { return m.life.Load().fleet }
+func (m *member) fleet() *burdockfleet.Fleet { return m.process.Load().fleet }
 
-// ServeHTTP passes a call on to the agent that lives now.
+// ServeHTTP passes a call to the current agent process.
 func (m *member) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	l := m.life.Load()
-	if l == nil || l.engine.dead.Load() {
+	p := m.process.Load()
+	if p == nil || p.engine.dead.Load() {
 		panic(http.ErrAbortHandler)
 	}
-	l.handler.ServeHTTP(w, r)
+	p.handler.ServeHTTP(w, r)
 }
 
-// start begins a new life without any memory.
+// start starts a new agent process without any records.
 func (m *member) start() {
 	c := m.cluster
-	l := &life{view: burdockconfig.NewView()}
-	l.fleet = burdockfleet.Follow(l.view)
-	l.engine = &mortalEngine{Engine: burdockengine.NewHTTP(strings.TrimPrefix(m.engine.URL, "http://"))}
+	p := &agentProcess{view: burdockconfig.NewView()}
+	p.fleet = burdockfleet.Follow(p.view)
+	p.engine = &processEngine{Engine: burdockengine.NewHTTP(strings.TrimPrefix(m.engine.URL, "http://"))}
 	clock := c.clock.Clock()
-	l.agent = New(Config{Upstream: m.name, VM: burdockid.VM(m.name), Service: historyService, Slots: 4}, Deps{
-		Clock: clock, Engine: l.engine, Fleet: l.fleet, Verified: func() bool { return true },
+	p.agent = New(Config{Upstream: m.name, VM: burdockid.VM(m.name), Service: historyService, Slots: 4}, Deps{
+		Clock: clock, Engine: p.engine, Fleet: p.fleet, Verified: func() bool { return true },
 		OnConfigDigest: func(burdockconfig.Digest) {}, Log: zap.NewNop(), Metrics: metrics.NewSet(),
 		Random: rand.New(rand.NewPCG(1, 2)),
 	})
 	mux := http.NewServeMux()
-	mux.Handle(burdockwire.NewAgentServiceHandler(&lateHandler{Agent: l.agent, cluster: c, random: rand.New(rand.NewPCG(c.random.Uint64(), 3))}))
-	l.handler = mux
+	mux.Handle(burdockwire.NewAgentServiceHandler(&delayingHandler{Agent: p.agent, cluster: c, random: rand.New(rand.NewPCG(c.random.Uint64(), 3))}))
+	p.handler = mux
 	store := burdockstore.NewHTTP([]string{c.address})
-	l.watcher = burdocksync.NewWatcher(store, l.view, burdocksync.NewSource(clock), clock, zap.NewNop())
-	l.homes = NewKeySlotManager(l.agent, burdocksync.NewWriter(store), l.view, burdocktransport.NewPeers(nil))
+	p.watcher = burdocksync.NewWatcher(store, p.view, burdocksync.NewSource(clock), clock, zap.NewNop())
+	p.manager = NewKeySlotManager(p.agent, burdocksync.NewWriter(store), p.view, burdocktransport.NewPeers(nil))
 	ctx, cancel := context.WithCancel(context.Background())
-	l.cancel = cancel
-	l.agent.Start()
-	l.watcher.Start()
-	l.done.Add(1)
-	m.life.Store(l)
-	go l.loop(ctx)
+	p.cancel = cancel
+	p.agent.Start()
+	p.watcher.Start()
+	p.done.Add(1)
+	m.process.Store(p)
+	go p.loop(ctx)
 }
 
-// loop looks after the homes more often than the product does.
-func (l *life) loop(ctx context.Context) {
-	defer l.done.Done()
+// loop runs the slot manager more often than in production.
+func (p *agentProcess) loop(ctx context.Context) {
+	defer p.done.Done()
 	for ctx.Err() == nil {
-		l.homes.runOnce(ctx)
-		time.Sleep(homesPause)
+		p.manager.runOnce(ctx)
+		time.Sleep(managePause)
 	}
 }
 
-// kill ends a life at once: nothing of it is sent or answered any longer.
+// kill ends a process at once: it neither sends nor answers anything any longer.
 func (m *member) kill() {
-	l := m.life.Load()
-	l.engine.dead.Store(true)
+	p := m.process.Load()
+	p.engine.dead.Store(true)
 	m.server.CloseClientConnections()
-	l.cancel()
-	l.done.Wait()
-	l.watcher.Close()
-	l.agent.Close()
+	p.cancel()
+	p.done.Wait()
+	p.watcher.Close()
+	p.agent.Close()
 }
 
-// stop ends a life as planned.
+// stop ends a process by a planned stop.
 func (m *member) stop(ctx context.Context) {
-	l := m.life.Load()
-	l.agent.Drain()
-	for ctx.Err() == nil && (!l.agent.Idle() || !l.homes.Released()) {
+	p := m.process.Load()
+	p.agent.Drain()
+	for ctx.Err() == nil && (!p.agent.Idle() || !p.manager.Released()) {
 		time.Sleep(time.Millisecond)
 	}
 	m.kill()
 }
 
-// hold lets a message come late, unless the cluster is closing.
-func (c *cluster) hold(m *lateMessage) {
-	c.lateMu.Lock()
-	defer c.lateMu.Unlock()
+// deliverLater delivers a message after its delay, unless the cluster is closing.
+func (c *cluster) deliverLater(m *delayedMessage) {
+	c.delayedMu.Lock()
+	defer c.delayedMu.Unlock()
 	if !c.closing {
-		c.late.Add(1)
+		c.delayed.Add(1)
 		go m.run()
 	}
 }
 
-// lateHandler is an agent that some messages of other agents reach late or
-// twice.
-type lateHandler struct {
+// delayingHandler is an agent that receives some messages of other agents late or twice.
+type delayingHandler struct {
 	*Agent
 	cluster *cluster
 	mu      sync.Mutex
 	random  *rand.Rand
 }
 
-var errLate = errors.New("the message is late")
+var errDelayed = errors.New("the message is delayed")
 
 // TakeKeys implements burdockwire.AgentServiceHandler.
-func (h *lateHandler) TakeKeys(ctx context.Context, req *connect.Request[burdockwire.TakeKeysRequest]) (*connect.Response[burdockwire.TakeKeysResponse], error) {
+func (h *delayingHandler) TakeKeys(ctx context.Context, req *connect.Request[burdockwire.TakeKeysRequest]) (*connect.Response[burdockwire.TakeKeysResponse], error) {
 	h.mu.Lock()
-	late, twice, after := h.random.IntN(6) == 0, h.random.IntN(6) == 0, time.Duration(h.random.IntN(lateMost))*time.Millisecond
+	delay, duplicate, after := h.random.IntN(6) == 0, h.random.IntN(6) == 0, time.Duration(h.random.IntN(maxDelayMillis))*time.Millisecond
 	h.mu.Unlock()
-	if h.cluster.memory == forgetful {
+	if h.cluster.handover == dropRecords {
 		req.Msg.Lines = nil
 	}
-	if late || twice {
-		h.cluster.hold(&lateMessage{handler: h, req: req, after: after})
+	if delay || duplicate {
+		h.cluster.deliverLater(&delayedMessage{handler: h, req: req, after: after})
 	}
-	if late {
-		return nil, connect.NewError(connect.CodeUnavailable, errLate)
+	if delay {
+		return nil, connect.NewError(connect.CodeUnavailable, errDelayed)
 	}
 	return h.Agent.TakeKeys(ctx, req)
 }
 
-type lateMessage struct {
-	handler *lateHandler
+type delayedMessage struct {
+	handler *delayingHandler
 	req     *connect.Request[burdockwire.TakeKeysRequest]
 	after   time.Duration
 }
 
-func (m *lateMessage) run() {
-	defer m.handler.cluster.late.Done()
+func (m *delayedMessage) run() {
+	defer m.handler.cluster.delayed.Done()
 	time.Sleep(m.after)
 	_, _ = m.handler.Agent.TakeKeys(context.Background(), m.req)
 }
--- a/internal/serve/burdockagent/fuzz_test.go
+++ b/internal/serve/burdockagent/fuzz_test.go
@@ -24,8 +24,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// fuzzWait bounds one call; an agent that gives no final event is at fault.
-const fuzzWait = 5 * time.Second
+// fuzzTimeout limits one call. The agent has to send a final event within it.
+const fuzzTimeout = 5 * time.Second
 
 // countingEngine answers each call at once.
 type countingEngine struct{ runs atomic.Int64 }
@@ -41,9 +41,9 @@
 // Check implements burdockengine.Engine.
 func (e *countingEngine) Check(context.Context) error { return nil }
 
-// fuzzRig is an agent that is the home of every key, beside an engine that
-// answers at once.
-func fuzzRig(tb testing.TB) (*Agent, *countingEngine, burdockwire.AgentServiceClient) {
+// newFuzzAgent returns an agent that owns every slot, with an engine that answers at
+// once, and a client of the agent.
+func newFuzzAgent(tb testing.TB) (*Agent, *countingEngine, burdockwire.AgentServiceClient) {
 	tb.Helper()
 	engine := &countingEngine{}
 	clock := burdockclock.NewManual(clusterStart)
@@ -65,66 +65,66 @@
 	return a, engine, burdockwire.NewAgentServiceClient(server.Client(), server.URL)
 }
 
-// final returns the last event of a stream, or fails when there is none.
-func final(t *testing.T, stream *connect.ServerStreamForClient[burdockwire.RunEvent], err error) *burdockwire.RunEvent {
+// finalEvent returns the last event of a stream, and fails unless it is a final one.
+func finalEvent(t *testing.T, stream *connect.ServerStreamForClient[burdockwire.RunEvent], err error) *burdockwire.RunEvent {
 	t.Helper()
-	event := last(t, stream, err)
+	event := lastEvent(t, stream, err)
 	if event.GetEnd() == nil && event.GetRefused() == nil && event.GetCut() == nil {
 		t.Fatalf("last event: got %v, want an end, a refusal or a cut", event)
 	}
 	return event
 }
 
-// FuzzRun offers hostile requests. Each gets a final event, runs at most once,
-// and not at all when it is refused.
+// FuzzRun offers arbitrary requests. Each gets a final event and runs at most once, and
+// does not run if it is refused.
 func FuzzRun(f *testing.F) {
 	f.Fuzz(func(t *testing.T, id, upstream, key, method, path string, cost, prompt, timeout int64, maxLoad float64) {
-		ctx, cancel := context.WithTimeout(context.Background(), fuzzWait)
+		ctx, cancel := context.WithTimeout(context.Background(), fuzzTimeout)
 		defer cancel()
-		_, engine, client := fuzzRig(t)
+		_, engine, client := newFuzzAgent(t)
 		req := &burdockwire.RunRequest{
 			RequestId: id, Upstream: upstream, IdempotencyKey: key, Method: method, Path: path,
 			CostTokens: cost, PromptTokens: prompt, TimeoutMillis: timeout, MaxLoad: maxLoad,
 		}
 		if _, err := proto.Marshal(req); err != nil {
-			t.Skip("no message can hold that")
+			t.Skip("the input can't be encoded as a message")
 		}
 		for range 2 {
 			before := engine.runs.Load()
 			stream, err := client.Run(ctx, connect.NewRequest(req))
-			event := final(t, stream, err)
+			event := finalEvent(t, stream, err)
 			if ran := engine.runs.Load() > before; ran && event.GetRefused() != nil {
-				t.Errorf("refused, and it ran")
+				t.Errorf("the request was refused, but it ran")
 			}
 		}
 		if got := engine.runs.Load(); got > 1 {
 			t.Errorf("runs: got %d, want 1 at most", got)
 		}
-		// Whoever comes next with an ordinary request is served.
-		stream, err := client.Run(ctx, connect.NewRequest(chat("next "+id)))
-		if event := final(t, stream, err); event.GetRefused() != nil {
-			t.Errorf("the next request: got %v, want it run", event)
+		// The agent still serves ordinary requests.
+		stream, err := client.Run(ctx, connect.NewRequest(chatRequest("next "+id)))
+		if event := finalEvent(t, stream, err); event.GetRefused() != nil {
+			t.Errorf("next request: got %v, want it to run", event)
 		}
 	})
 }
 
-// FuzzAttach asks for answers at hostile offsets and ages. An answer's bytes
-// are those from the offset on, or none, and "not run" is not said of a
-// request whose age is nonsense.
+// FuzzAttach attaches at arbitrary offsets and ages. The answer is sent only from a valid
+// offset, and "not run" is not claimed for a request with an invalid age or one from
+// before the agent's start.
 func FuzzAttach(f *testing.F) {
 	f.Fuzz(func(t *testing.T, id string, offset, age int64) {
-		ctx, cancel := context.WithTimeout(context.Background(), fuzzWait)
+		ctx, cancel := context.WithTimeout(context.Background(), fuzzTimeout)
 		defer cancel()
-		_, _, client := fuzzRig(t)
+		_, _, client := newFuzzAgent(t)
 		req := &burdockwire.AttachRequest{RequestId: id, Upstream: "u-1", Offset: offset, AgeMillis: age}
 		if _, err := proto.Marshal(req); err != nil {
-			t.Skip("no message can hold that")
+			t.Skip("the input can't be encoded as a message")
 		}
 		known := &burdockwire.RunRequest{RequestId: "known", Upstream: "u-1", Method: "GET", Path: "/"}
 		stream, err := client.Run(ctx, connect.NewRequest(known))
-		total := final(t, stream, err).GetEnd().GetTotalBytes()
+		total := finalEvent(t, stream, err).GetEnd().GetTotalBytes()
 		stream, err = client.Attach(ctx, connect.NewRequest(req))
-		event := final(t, stream, err)
+		event := finalEvent(t, stream, err)
 		if got, want := event.GetEnd() != nil, id == "known" && offset >= 0 && offset <= total; got != want {
 			t.Errorf("answered: got %v, want %v", got, want)
 		}
@@ -134,32 +134,32 @@
 	})
 }
 
-// FuzzTakeKeys hands hostile memories over and makes the agent their home.
-// A key that is in the memory does not run.
+// FuzzTakeKeys hands over arbitrary key records and makes the agent the owner of their
+// slot. A key with a record does not run.
 func FuzzTakeKeys(f *testing.F) {
-	f.Fuzz(func(t *testing.T, from string, slot int32, since int64, high, low, print uint64, fate uint32, at int64) {
-		r := newRig(t, 0)
-		line := &burdockwire.KeyLine{KeyHigh: high, KeyLow: low, RequestId: "first", Fingerprint: print, Fate: fate, AtMillis: at}
+	f.Fuzz(func(t *testing.T, from string, slot int32, since int64, high, low, fingerprint uint64, fate uint32, at int64) {
+		e := newTestEnv(t, 0)
+		line := &burdockwire.KeyLine{KeyHigh: high, KeyLow: low, RequestId: "first", Fingerprint: fingerprint, Fate: fate, AtMillis: at}
 		offer := &burdockwire.TakeKeysRequest{FromIncarnation: from, Slot: slot, SinceMillis: since, Lines: []*burdockwire.KeyLine{line}}
-		res, err := r.agent.TakeKeys(context.Background(), connect.NewRequest(offer))
+		res, err := e.agent.TakeKeys(context.Background(), connect.NewRequest(offer))
 		if err != nil {
 			t.Fatalf("TakeKeys: %v", err)
 		}
 		valid := slot >= 0 && slot < burdockledger.SlotCount
 		if got := res.Msg.GetTaken(); got && !valid {
-			t.Errorf("slot %d: got taken, want it refused", slot)
+			t.Errorf("slot %d: got it taken, want it refused", slot)
 		}
 		if !valid || from == "" {
 			return
 		}
-		r.agent.mu.Lock()
-		defer r.agent.mu.Unlock()
-		ledger := r.agent.keys.ledger
+		e.agent.mu.Lock()
+		defer e.agent.mu.Unlock()
+		ledger := e.agent.keys.ledger
 		ledger.ImportSlot(burdockledger.Slot(slot), burdockclock.Millis(since), recordsOf(offer))
-		wall := r.clock.Clock().Now()
-		ask := burdockledger.KeyedRequest{Key: burdockledger.Key{high, low}, Request: "repeat", Fingerprint: burdockledger.Fingerprint(print)}
-		if d, ok := ledger.Decide(wall, ask).(burdockledger.Attach); !ok || d.Request != burdockid.Request("first") {
-			t.Errorf("repeat: got %#v, want the first request", d)
+		wall := e.clock.Clock().Now()
+		keyed := burdockledger.KeyedRequest{Key: burdockledger.Key{high, low}, Request: "repeat", Fingerprint: burdockledger.Fingerprint(fingerprint)}
+		if d, ok := ledger.Decide(wall, keyed).(burdockledger.Attach); !ok || d.Request != burdockid.Request("first") {
+			t.Errorf("repeat: got %#v, want Attach to the first request", d)
 		}
 		ledger.ExportSlot(burdockledger.Slot(slot))
 		ledger.Evict(wall)
--- a/internal/serve/burdockagent/handover_test.go
+++ b/internal/serve/burdockagent/handover_test.go
@@ -11,100 +11,101 @@
 	"connectrpc.com/connect"
 )
 
-const handedKey = "handed over"
+const testKey = "handed over"
 
-func handedAsk() burdockledger.KeyedRequest {
-	return keyedRequestOf(&burdockwire.RunRequest{RequestId: "repeat", Customer: historyCustomer, IdempotencyKey: handedKey})
+func testKeyRequest() burdockledger.KeyedRequest {
+	return keyedRequestOf(&burdockwire.RunRequest{RequestId: "repeat", Customer: historyCustomer, IdempotencyKey: testKey})
 }
 
-// handOver is the memory of the key's slot, from a home that ran the key or
-// from one that did not.
-func handOver(from burdockid.Incarnation, ran bool) *burdockwire.TakeKeysRequest {
-	ask := handedAsk()
-	offer := &burdockwire.TakeKeysRequest{FromIncarnation: string(from), Slot: int32(burdockledger.SlotOf(ask.Key))}
+// newOffer returns the records of the key's slot, from an owner that ran the key or from
+// one that did not.
+func newOffer(from burdockid.Incarnation, ran bool) *burdockwire.TakeKeysRequest {
+	keyed := testKeyRequest()
+	offer := &burdockwire.TakeKeysRequest{FromIncarnation: string(from), Slot: int32(burdockledger.SlotOf(keyed.Key))}
 	if ran {
 		offer.Lines = []*burdockwire.KeyLine{{
-			KeyHigh: ask.Key[0], KeyLow: ask.Key[1], RequestId: "first",
-			Fingerprint: uint64(ask.Fingerprint), Fate: uint32(burdockledger.OutcomeAnswered),
+			KeyHigh: keyed.Key[0], KeyLow: keyed.Key[1], RequestId: "first",
+			Fingerprint: uint64(keyed.Fingerprint), Fate: uint32(burdockledger.OutcomeAnswered),
 		}}
 	}
 	return offer
 }
 
-func (r *rig) takeKeys(t *testing.T, offer *burdockwire.TakeKeysRequest) {
+func (e *testEnv) takeKeys(t *testing.T, offer *burdockwire.TakeKeysRequest) {
 	t.Helper()
-	res, err := r.agent.TakeKeys(context.Background(), connect.NewRequest(offer))
+	res, err := e.agent.TakeKeys(context.Background(), connect.NewRequest(offer))
 	if err != nil || !res.Msg.GetTaken() {
-		t.Fatalf("TakeKeys: got %v, %v; want it taken", res, err)
+		t.Fatalf("TakeKeys: got %v, %v; want the offer taken", res, err)
 	}
 }
 
-// follow tells the agent that it is the home of the key's slot.
-func (r *rig) follow(version burdockid.Version, from burdockid.Incarnation) {
-	r.agent.mu.Lock()
-	defer r.agent.mu.Unlock()
-	home := burdockhome.Home{Upstream: "u-1", Incarnation: r.agent.incarnation, From: from}
-	homes := burdockhome.Homes{burdockledger.SlotOf(handedAsk().Key): {Home: home, Version: version}}
-	r.agent.keys.applyOwners(homes, "u-1", r.agent.incarnation)
+// setOwner makes the agent the owner of the key's slot.
+func (e *testEnv) setOwner(version burdockid.Version, from burdockid.Incarnation) {
+	e.agent.mu.Lock()
+	defer e.agent.mu.Unlock()
+	owner := burdockhome.Home{Upstream: "u-1", Incarnation: e.agent.incarnation, From: from}
+	owners := burdockhome.Homes{burdockledger.SlotOf(testKeyRequest().Key): {Home: owner, Version: version}}
+	e.agent.keys.applyOwners(owners, "u-1", e.agent.incarnation)
 }
 
-// decide asks the ledger for the key.
-func (r *rig) decide() burdockledger.Decision {
-	r.agent.mu.Lock()
-	defer r.agent.mu.Unlock()
-	if !r.agent.keys.ledger.OwnsSlot(burdockledger.SlotOf(handedAsk().Key)) {
+// decide returns the ledger's decision about a repeat of the key; nil if the agent does
+// not own its slot.
+func (e *testEnv) decide() burdockledger.Decision {
+	e.agent.mu.Lock()
+	defer e.agent.mu.Unlock()
+	if !e.agent.keys.ledger.OwnsSlot(burdockledger.SlotOf(testKeyRequest().Key)) {
 		return nil
 	}
-	return r.agent.keys.ledger.Decide(r.clock.Clock().Now(), handedAsk())
+	return e.agent.keys.ledger.Decide(e.clock.Clock().Now(), testKeyRequest())
 }
 
-// A caller repeats a key at its new home and gets no second run. The old home
-// offered its memory twice, since the first offer got no answer, and ran the
-// key in between. The first offer arrives after the second.
-func TestLateMemoryReplacesNothing(t *testing.T) {
-	r := newRig(t, 0)
-	r.takeKeys(t, handOver("old", true))
-	r.takeKeys(t, handOver("old", false))
-	r.follow(1, "old")
+// Checks that a key does not run again at the new owner of its slot. The old owner got no
+// reply to its first offer, ran the key and offered the slot again, and the first offer
+// arrives after the second.
+func TestDelayedOfferKeepsNewerRecords(t *testing.T) {
+	e := newTestEnv(t, 0)
+	e.takeKeys(t, newOffer("old", true))
+	e.takeKeys(t, newOffer("old", false))
+	e.setOwner(1, "old")
 	want := burdockledger.Attach{Request: "first", Outcome: burdockledger.OutcomeAnswered}
-	if got := r.decide(); got != want {
+	if got := e.decide(); got != want {
 		t.Errorf("repeat: got %#v, want %#v", got, want)
 	}
 }
 
-// A caller's key goes on to have a home. An offer of an earlier home arrives
-// after that of the last one, whose memory is the one that counts.
-func TestLateMemoryOfAnotherHome(t *testing.T) {
-	r := newRig(t, 0)
-	r.takeKeys(t, handOver("last", true))
-	r.takeKeys(t, handOver("earlier", false))
-	r.follow(1, "last")
+// An offer of an earlier owner arrives after the offer of the last one. Checks that the
+// records of the last owner are used.
+func TestDelayedOfferOfEarlierOwner(t *testing.T) {
+	e := newTestEnv(t, 0)
+	e.takeKeys(t, newOffer("last", true))
+	e.takeKeys(t, newOffer("earlier", false))
+	e.setOwner(1, "last")
 	want := burdockledger.Attach{Request: "first", Outcome: burdockledger.OutcomeAnswered}
-	if got := r.decide(); got != want {
+	if got := e.decide(); got != want {
 		t.Errorf("repeat: got %#v, want %#v", got, want)
 	}
 }
 
-// A caller repeats a key at a home that gave the slot away and got it back.
-// The home was held up meanwhile and sees only the last of the two changes,
-// so it never saw itself without the slot. The key ran in between elsewhere.
-func TestSlotGivenAwayAndBack(t *testing.T) {
-	r := newRig(t, 0)
-	r.follow(1, "")
-	r.takeKeys(t, handOver("between", true))
-	r.follow(3, "between")
+// Checks that a key does not run again at an owner that handed its slot over and got it
+// back. The owner was delayed and sees only the last of the two changes, so it never saw
+// itself without the slot. The key ran at the other owner in between.
+func TestSlotReacquired(t *testing.T) {
+	e := newTestEnv(t, 0)
+	e.setOwner(1, "")
+	e.takeKeys(t, newOffer("between", true))
+	e.setOwner(3, "between")
 	want := burdockledger.Attach{Request: "first", Outcome: burdockledger.OutcomeAnswered}
-	if got := r.decide(); got != want {
+	if got := e.decide(); got != want {
 		t.Errorf("repeat: got %#v, want %#v", got, want)
 	}
 }
 
-// The same, without the memory from in between: nothing of the slot runs.
-func TestSlotGivenAwayAndBackWithoutMemory(t *testing.T) {
-	r := newRig(t, 0)
-	r.follow(1, "")
-	r.follow(3, "between")
-	if got := r.decide(); got != nil {
-		t.Errorf("repeat: got %#v, want a slot that is not held", got)
+// As above, but the records of the other owner are missing: no key of the slot may run.
+func TestSlotReacquiredWithoutRecords(t *testing.T) {
+	e := newTestEnv(t, 0)
+	e.setOwner(1, "")
+	e.setOwner(3, "between")
+	if got := e.decide(); got != nil {
+		t.Errorf("repeat: got %#v, want a slot that the agent does not own", got)
 	}
 }
--- a/internal/serve/burdockagent/history_test.go
+++ b/internal/serve/burdockagent/history_test.go
@@ -20,97 +20,98 @@
 )
 
 var (
-	historySeeds = flag.Int("histories", 2, "how many seeds TestKeyHistories goes through")
-	historyTime  = flag.Duration("historyTime", 2*time.Second, "how long callers repeat keys for each seed")
+	historySeeds    = flag.Int("histories", 2, "number of seeds of TestKeyHistories")
+	historyDuration = flag.Duration("historyTime", 2*time.Second, "duration of the calls for each seed")
 )
 
 const (
 	historyCallers = 8
 	historyKeys    = 6
-	// historyRepeat is for how long a caller repeats a key, well within the
-	// window that a ledger counts on.
-	historyRepeat = burdockledger.RepeatWindow / 10
-	historyCheck  = time.Minute
-	callTimeout   = 5 * time.Second
-	callPause     = 10 // milliseconds at most
+	// repeatPeriod is how long callers repeat a key. It is well within the window that
+	// the ledger assumes.
+	repeatPeriod = burdockledger.RepeatWindow / 10
+	checkTimeout = time.Minute
+	callTimeout  = 5 * time.Second
+	callPause    = 10 // maximum in milliseconds
 )
 
-// Callers repeat idempotency keys, with the same request and with another, at
-// several agents at once. Meanwhile homes are killed and replaced without
-// memory, stopped as planned, and their messages to each other come late or
-// twice; the store carries writes out and loses the answers. Each key runs at
-// most once, all its answers are the same, and "not run" is true.
+// Checks that each key runs at most once, that all its answers are the same and that
+// "not run" is true. Callers repeat keys, with the same request and with a different one,
+// at several agents in parallel. Meanwhile agents are killed and replaced without their
+// records or stopped as planned, messages between agents arrive late or twice, and the
+// store executes writes but loses the replies.
 func TestKeyHistories(t *testing.T) {
 	for seed := range uint64(*historySeeds) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			h := recordHistory(t, seed, faithful)
+			h := recordHistory(t, seed, keepRecords)
 			if result := h.check(); result != porcupine.Ok {
-				t.Errorf("history of %d operations: got %v, want %v", len(h.operations), result, porcupine.Ok)
+				t.Errorf("check of %d operations: got %v, want %v", len(h.operations), result, porcupine.Ok)
 			}
 			h.checkNotRun(t)
-			h.report(t)
+			h.checkCoverage(t)
 		})
 	}
 }
 
-// The check of histories can fail: with homes that forget the keys that were
-// handed over to them, it finds a key that ran twice.
-func TestKeyHistoriesFindForgetfulHomes(t *testing.T) {
-	const most = 20
-	for seed := range uint64(most) {
-		if recordHistory(t, seed, forgetful).check() == porcupine.Illegal {
+// Checks that TestKeyHistories can fail: if agents drop the records that are handed over
+// to them, the check finds a key that ran twice.
+func TestKeyHistoriesDetectLostRecords(t *testing.T) {
+	const seeds = 20
+	for seed := range uint64(seeds) {
+		if recordHistory(t, seed, dropRecords).check() == porcupine.Illegal {
 			return
 		}
 	}
-	t.Errorf("got %d legal histories of homes that forget, want an illegal one", most)
+	t.Errorf("got %d legal histories although records were dropped, want an illegal one", seeds)
 }
 
-// ending is how a call with a key ended, or what the engine did.
-type keyEnding int
+// callResult is the result of a call with a key, or a run at the engine.
+type callResult int
 
 const (
-	keyRun      keyEnding = iota // the engine began to run it
-	keyAnswered                  // with the answer of a run
-	keyRan                       // it ran, and its answer is gone
-	keyNotRun
-	keyReused
-	keyUnknown
+	resultRun        callResult = iota // the engine started to run it
+	resultAnswered                     // the call got the answer of a run
+	resultAnswerGone                   // it ran, but its answer is no longer kept
+	resultNotRun
+	resultKeyReused
+	resultUnknown
 )
 
-// keyCall is the input of an operation: a call with a key, or a run.
-type keyCall struct {
+// keyedCall is the input of an operation: a call with a key, or a run.
+type keyedCall struct {
 	key  string
 	body string
 	id   burdockid.Request
 }
 
-// keyOutcome is its output. Run is the engine's number of the run.
-type keyOutcome struct {
-	ending keyEnding
+// callOutcome is the output of an operation. Run is the number of the run, which the
+// engine assigned.
+type callOutcome struct {
+	result callResult
 	run    int
 }
 
-// keyState is what the model knows of one key.
+// keyState is the state of one key in the model.
 type keyState struct {
 	run  int // 0: it has not run
 	body string
 }
 
-// keyModel says what may happen to one key. "Not run" and "unknown" change
-// nothing: a run is an operation of its own, recorded at the engine.
+// keyModel is the sequential model of one key. The results "not run" and "unknown" don't
+// change the state, because a run is an operation of its own that the engine records.
 var keyModel = porcupine.Model{
-	Partition: byKey,
+	Partition: partitionByKey,
 	Init:      func() any { return keyState{} },
 	Step: func(state, input, output any) (bool, any) {
-		s, call, out := state.(keyState), input.(keyCall), output.(keyOutcome)
-		switch out.ending {
-		case keyRun:
+		s, call, out := state.(keyState), input.(keyedCall), output.(callOutcome)
+		switch out.result {
+		case resultRun:
 			return s.run == 0, keyState{run: out.run, body: call.body}
-		case keyAnswered:
+		case resultAnswered:
 			return s.run == out.run && s.body == call.body, s
-		case keyRan:
+		case resultAnswerGone:
 			return s.run != 0 && s.body == call.body, s
-		case keyReused:
+		case resultKeyReused:
 			return s.run == 0 || s.body != call.body, s
 		default:
 			return true, s
@@ -118,10 +119,10 @@
 	},
 }
 
-func byKey(operations []porcupine.Operation) [][]porcupine.Operation {
+func partitionByKey(operations []porcupine.Operation) [][]porcupine.Operation {
 	parts := map[string][]porcupine.Operation{}
 	for _, op := range operations {
-		key := op.Input.(keyCall).key
+		key := op.Input.(keyedCall).key
 		parts[key] = append(parts[key], op)
 	}
 	var list [][]porcupine.Operation
@@ -131,7 +132,7 @@
 	return list
 }
 
-// history records operations in the order of one counter.
+// history records operations with timestamps from one counter.
 type history struct {
 	mu         sync.Mutex
 	counter    int64
@@ -139,26 +140,26 @@
 	operations []porcupine.Operation
 }
 
-func (h *history) tick() int64 {
+func (h *history) nextTime() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.counter++
 	return h.counter
 }
 
-// began records a run of the engine and returns its number.
-func (h *history) began(call keyCall) int {
+// recordRun records a run of the engine and returns its number.
+func (h *history) recordRun(call keyedCall) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.runs++
 	h.counter++
 	h.operations = append(h.operations, porcupine.Operation{
-		Input: call, Call: h.counter, Output: keyOutcome{ending: keyRun, run: h.runs}, Return: h.counter,
+		Input: call, Call: h.counter, Output: callOutcome{result: resultRun, run: h.runs}, Return: h.counter,
 	})
 	return h.runs
 }
 
-func (h *history) ended(caller int, call keyCall, at int64, out keyOutcome) {
+func (h *history) recordCall(caller int, call keyedCall, at int64, out callOutcome) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.counter++
@@ -168,44 +169,44 @@
 }
 
 func (h *history) check() porcupine.CheckResult {
-	return porcupine.CheckOperationsTimeout(keyModel, h.operations, historyCheck)
+	return porcupine.CheckOperationsTimeout(keyModel, h.operations, checkTimeout)
 }
 
-// checkNotRun compares each "not run" with what the engines ran, whenever.
+// checkNotRun checks that no request with the result "not run" ran, at any time.
 func (h *history) checkNotRun(t *testing.T) {
 	t.Helper()
 	ran := map[burdockid.Request]bool{}
 	for _, op := range h.operations {
-		if op.Output.(keyOutcome).ending == keyRun {
-			ran[op.Input.(keyCall).id] = true
+		if op.Output.(callOutcome).result == resultRun {
+			ran[op.Input.(keyedCall).id] = true
 		}
 	}
 	for _, op := range h.operations {
-		call := op.Input.(keyCall)
-		if op.Output.(keyOutcome).ending == keyNotRun && ran[call.id] {
-			t.Errorf("%s of key %s: told not run, and it ran", call.id, call.key)
+		call := op.Input.(keyedCall)
+		if op.Output.(callOutcome).result == resultNotRun && ran[call.id] {
+			t.Errorf("%s of key %s: got not run, but it ran", call.id, call.key)
 		}
 	}
 }
 
-// report says what the history holds, and fails when a kind of ending that
-// the check is about never came.
-func (h *history) report(t *testing.T) {
+// checkCoverage logs the number of operations by result, and fails if a result that the
+// check depends on never occurred.
+func (h *history) checkCoverage(t *testing.T) {
 	t.Helper()
-	counts := map[keyEnding]int{}
+	counts := map[callResult]int{}
 	for _, op := range h.operations {
-		counts[op.Output.(keyOutcome).ending]++
+		counts[op.Output.(callOutcome).result]++
 	}
 	t.Logf("runs %d, answered %d, ran %d, not run %d, reused %d, unknown %d",
-		counts[keyRun], counts[keyAnswered], counts[keyRan], counts[keyNotRun], counts[keyReused], counts[keyUnknown])
-	for _, e := range []keyEnding{keyRun, keyAnswered, keyNotRun, keyReused, keyUnknown} {
+		counts[resultRun], counts[resultAnswered], counts[resultAnswerGone], counts[resultNotRun], counts[resultKeyReused], counts[resultUnknown])
+	for _, e := range []callResult{resultRun, resultAnswered, resultNotRun, resultKeyReused, resultUnknown} {
 		if counts[e] == 0 {
-			t.Errorf("ending %d: got none, want some", e)
+			t.Errorf("result %d: got none, want some", e)
 		}
 	}
 }
 
-// keyCaller repeats keys for as long as its context lasts.
+// keyCaller makes calls with keys until its context ends.
 type keyCaller struct {
 	number  int
 	cluster *cluster
@@ -216,34 +217,34 @@
 func (c *keyCaller) run(ctx context.Context, done *sync.WaitGroup) {
 	defer done.Done()
 	for n := 0; ctx.Err() == nil; n++ {
-		c.repeat(burdockid.Request(fmt.Sprint("caller ", c.number, " call ", n)))
+		c.callOnce(burdockid.Request(fmt.Sprint("caller ", c.number, " call ", n)))
 		time.Sleep(time.Duration(c.random.IntN(callPause)) * time.Millisecond)
 	}
 }
 
-// repeat makes and records one call.
-func (c *keyCaller) repeat(id burdockid.Request) {
+// callOnce makes and records one call.
+func (c *keyCaller) callOnce(id burdockid.Request) {
 	c.cluster.calls.RLock()
 	defer c.cluster.calls.RUnlock()
-	call := keyCall{
+	call := keyedCall{
 		key:  c.cluster.key(c.random.IntN(historyKeys)),
-		body: fmt.Sprintf(`"letter %d"`, c.random.IntN(4)/3), // one in four is another letter
+		body: fmt.Sprintf(`"letter %d"`, c.random.IntN(4)/3), // one in four has a different body
 		id:   id,
 	}
-	at := c.history.tick()
-	c.history.ended(c.number, call, at, c.call(call))
+	at := c.history.nextTime()
+	c.history.recordCall(c.number, call, at, c.send(call))
 }
 
-// call offers a call to the home of its key, or now and then to any agent, as
-// an entry with an old view of the homes would.
-func (c *keyCaller) call(call keyCall) keyOutcome {
+// send offers a call to the owner of its key, or sometimes to any agent, as an entry with
+// an outdated configuration does.
+func (c *keyCaller) send(call keyedCall) callOutcome {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	target := c.cluster.members[c.random.IntN(len(c.cluster.members))]
 	slot := burdockledger.SlotOf(burdockledger.KeyOf(historyCustomer, burdockid.IdempotencyKey(call.key)))
-	homes := target.fleet().Now().Homes[historyService]
+	owners := target.fleet().Now().Homes[historyService]
 	for _, m := range c.cluster.members {
-		if c.random.IntN(8) > 0 && homes[slot].Upstream == m.name {
+		if c.random.IntN(8) > 0 && owners[slot].Upstream == m.name {
 			target = m
 		}
 	}
@@ -254,13 +255,13 @@
 		CostTokens: 1,
 	}))
 	if err != nil {
-		return keyOutcome{ending: keyUnknown}
+		return callOutcome{result: resultUnknown}
 	}
 	defer func() { _ = stream.Close() }()
 	return readOutcome(stream)
 }
 
-func readOutcome(stream *connect.ServerStreamForClient[burdockwire.RunEvent]) keyOutcome {
+func readOutcome(stream *connect.ServerStreamForClient[burdockwire.RunEvent]) callOutcome {
 	var body []byte
 	for stream.Receive() {
 		switch e := stream.Msg().GetEvent().(type) {
@@ -269,40 +270,40 @@
 		case *burdockwire.RunEvent_End:
 			var run int
 			if json.Unmarshal(body, &run) != nil {
-				run = -1 // no run has that number
+				run = -1 // no run has this number
 			}
-			return keyOutcome{ending: keyAnswered, run: run}
+			return callOutcome{result: resultAnswered, run: run}
 		case *burdockwire.RunEvent_Refused:
 			if e.Refused.GetReason() == burdockwire.RefusedReason_REFUSED_REASON_KEY_REUSED {
-				return keyOutcome{ending: keyReused}
+				return callOutcome{result: resultKeyReused}
 			}
-			return keyOutcome{ending: keyNotRun}
+			return callOutcome{result: resultNotRun}
 		case *burdockwire.RunEvent_Cut:
 			if e.Cut.GetReason() == burdockwire.CutReason_CUT_REASON_ANSWER_GONE {
-				return keyOutcome{ending: keyRan}
+				return callOutcome{result: resultAnswerGone}
 			}
 		}
 	}
-	return keyOutcome{ending: keyUnknown}
+	return callOutcome{result: resultUnknown}
 }
 
-// recordHistory lets callers repeat keys at a cluster under faults.
-func recordHistory(t *testing.T, seed uint64, memory handoverMemory) *history {
+// recordHistory records the calls of several callers at a cluster under faults.
+func recordHistory(t *testing.T, seed uint64, handover handoverMode) *history {
 	t.Helper()
 	h := &history{}
-	c := startCluster(t, seed, memory, h)
-	ctx, cancel := context.WithTimeout(context.Background(), *historyTime)
+	c := startCluster(t, seed, handover, h)
+	ctx, cancel := context.WithTimeout(context.Background(), *historyDuration)
 	defer cancel()
 	var done sync.WaitGroup
 	for i := range historyCallers {
 		done.Add(1)
 		go (&keyCaller{number: i, cluster: c, history: h, random: rand.New(rand.NewPCG(seed, uint64(i)))}).run(ctx, &done)
 	}
-	c.disturb(ctx)
+	c.injectFaults(ctx)
 	done.Wait()
 	c.close()
 	return h
 }
 
-// settledHomes reports whether every slot has a home.
-func settledHomes(homes burdockhome.Homes) bool { return len(homes) == burdockledger.SlotCount }
+// allSlotsOwned reports whether every slot has an owner.
+func allSlotsOwned(owners burdockhome.Homes) bool { return len(owners) == burdockledger.SlotCount }
