--- a/internal/serve/burdockhosted/agent.go
+++ b/internal/serve/burdockhosted/agent.go
@@ -154,7 +154,7 @@
 	config := burdockfollow.New(burdockfollow.TopicConfig, p.Records, site, clock, log)
 	a.readers = []storeReader{
 		burdockkv.NewPoller(p.Store, p.Records.Prefix(burdockfollow.TopicConfig), config, configPollInterval, func() bool { return spec() != nil }, log),
-		burdockkv.NewFollower(p.Store, burdockkv.Watching{Prefix: prefixLease, History: settings.StoreHistoryMillis, Gap: leaseStore.watchGap}, mirror, clock, log),
+		burdockkv.NewFollower(p.Store, burdockkv.WatchOptions{Prefix: prefixLease, History: settings.StoreHistoryMillis, Gap: leaseStore.watchGap}, mirror, clock, log),
 	}
 	mux := http.NewServeMux()
 	mux.Handle(burdockwire.NewGroupServiceHandler(a.host, burdocktransport.HandlerOptions(maxHeader, maxHeader)...))
--- a/internal/serve/burdockhosted/entry.go
+++ b/internal/serve/burdockhosted/entry.go
@@ -103,8 +103,8 @@
 	return e, nil
 }
 
-func (e *entry) watchConfig(prefix string) burdockkv.Watching {
-	return burdockkv.Watching{Prefix: prefix, History: e.settings.StoreHistoryMillis}
+func (e *entry) watchConfig(prefix string) burdockkv.WatchOptions {
+	return burdockkv.WatchOptions{Prefix: prefix, History: e.settings.StoreHistoryMillis}
 }
 
 func (e *entry) serveReady(w http.ResponseWriter, _ *http.Request) {
--- a/internal/serve/burdockhosted/leasestore.go
+++ b/internal/serve/burdockhosted/leasestore.go
@@ -156,7 +156,7 @@
 }
 
 func (l *leaseStore) acquireFree(ctx context.Context, name, holder string, ttl burdockclock.Millis) (heldLease, error) {
-	if !l.mirror.Known() {
+	if !l.mirror.Synced() {
 		return heldLease{}, burdockstore.ErrUnavailable.New("the leases have not been read from the store yet")
 	}
 	key := prefixLease + name
--- a/internal/serve/burdockprocess/agent.go
+++ b/internal/serve/burdockprocess/agent.go
@@ -34,7 +34,7 @@
 		return nil, err
 	}
 	a := &Agent{node: n, grace: settings.DrainGraceMillis}
-	a.puller = burdocksync.NewStayingPuller(n.view, n.source, n.peers, n.entryPeers, log)
+	a.puller = burdocksync.NewStickyPuller(n.view, n.source, n.peers, n.entryPeers, log)
 	a.agent = burdockagent.New(
 		burdockagent.Config{Upstream: settings.Upstream, VM: settings.VM, Slots: settings.Slots},
 		burdockagent.Deps{
@@ -42,7 +42,7 @@
 			Engine:         burdockengine.NewHTTP(settings.EngineAddress),
 			Fleet:          n.fleet,
 			Verified:       n.source.Verified,
-			OnConfigDigest: a.puller.Heard,
+			OnConfigDigest: a.puller.ObserveDigest,
 			Log:            log,
 			Metrics:        n.metrics,
 			Random:         rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
--- a/internal/state/burdockfollow/follow.go
+++ b/internal/state/burdockfollow/follow.go
@@ -171,8 +171,8 @@
 	}
 }
 
-// Returned implements burdockkv.Sink.
-func (r *Records) Returned(silent burdockclock.Millis) {
+// StoreRecovered implements burdockkv.Sink.
+func (r *Records) StoreRecovered(silent burdockclock.Millis) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if silent >= outage {
--- a/internal/state/burdockfollow/follow_test.go
+++ b/internal/state/burdockfollow/follow_test.go
@@ -81,7 +81,7 @@
 func TestRecordsThatLapsedInAnOutage(t *testing.T) {
 	r := newRecords()
 	r.Listed([]burdockkv.Item{put("a", "up"), put("b", "up")})
-	r.Returned(5 * burdockclock.Second)
+	r.StoreRecovered(5 * burdockclock.Second)
 	r.Listed(nil)
 	r.want(t, "on the store's return", "a b")
 	r.pass(1000)
@@ -97,7 +97,7 @@
 func TestRemovedRecordIsGoneAtOnce(t *testing.T) {
 	r := newRecords()
 	r.Listed([]burdockkv.Item{put("a", "up"), put("b", "up")})
-	r.Returned(100) // a watch was cut, which is no outage
+	r.StoreRecovered(100) // a watch was cut, which is no outage
 	r.Changed([]burdockkv.Item{{Key: "a", Deleted: true}})
 	r.want(t, "removed", "b")
 }
--- a/internal/state/burdockkv/follower.go
+++ b/internal/state/burdockkv/follower.go
@@ -39,12 +39,12 @@
 	Listed(items []Item)
 	// Changed tells changes in their order.
 	Changed(items []Item)
-	// Returned tells that the store answers again after a time without.
-	Returned(silent burdockclock.Millis)
+	// StoreRecovered tells that the store answers again after a time without.
+	StoreRecovered(silent burdockclock.Millis)
 }
 
-// Watching says what a Follower watches, and how.
-type Watching struct {
+// WatchOptions says what a Follower watches, and how.
+type WatchOptions struct {
 	// Prefix is that of the keys.
 	Prefix string
 	// History is for how long the store keeps its history; 0 if it is not known.
@@ -54,7 +54,7 @@
 }
 
 // wait is how long one watch waits.
-func (w Watching) wait() burdockclock.Millis {
+func (w WatchOptions) wait() burdockclock.Millis {
 	if w.History <= 0 {
 		return watchWait
 	}
@@ -62,7 +62,7 @@
 }
 
 // gap is the time after a change before the next watch.
-func (w Watching) gap() burdockclock.Millis {
+func (w WatchOptions) gap() burdockclock.Millis {
 	if w.Gap == nil {
 		return watchGap
 	}
@@ -73,7 +73,7 @@
 // watches, and lists again when the history was lost.
 type Follower struct {
 	store Store
-	what  Watching
+	what  WatchOptions
 	sink  Sink
 	clock burdockclock.Clock
 	log   *zap.Logger
@@ -89,7 +89,7 @@
 }
 
 // NewFollower returns a follower that begins with Start.
-func NewFollower(store Store, what Watching, sink Sink, clock burdockclock.Clock, log *zap.Logger) *Follower {
+func NewFollower(store Store, what WatchOptions, sink Sink, clock burdockclock.Clock, log *zap.Logger) *Follower {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Follower{
 		store: store, what: what, sink: sink, clock: clock,
@@ -167,7 +167,7 @@
 	if f.lostAt != 0 {
 		silent := f.clock.Boot() - f.lostAt
 		f.log.Info("store regained", zap.Int64("silentMillis", int64(silent)))
-		f.sink.Returned(silent)
+		f.sink.StoreRecovered(silent)
 	}
 	f.lostAt, f.pause = 0, 0
 }
--- a/internal/state/burdockkv/follower_test.go
+++ b/internal/state/burdockkv/follower_test.go
@@ -69,7 +69,7 @@
 func follow(t *testing.T, s *scripted) *Mirror {
 	t.Helper()
 	m := NewMirror()
-	f := NewFollower(s, Watching{}, m, burdockclock.System(), zap.NewNop())
+	f := NewFollower(s, WatchOptions{}, m, burdockclock.System(), zap.NewNop())
 	f.Start()
 	t.Cleanup(f.Close)
 	return m
@@ -131,7 +131,7 @@
 
 func TestWatchIsShorterThanTheHistory(t *testing.T) {
 	for history, want := range map[burdockclock.Millis]burdockclock.Millis{0: 25_000, 20_000: 16_000, 5_000: 4_000, 60_000: 25_000} {
-		if got := (Watching{History: history}).wait(); got != want {
+		if got := (WatchOptions{History: history}).wait(); got != want {
 			t.Errorf("history of %d ms: got a watch of %d ms, want %d ms", history, got, want)
 		}
 	}
--- a/internal/state/burdockkv/mirror.go
+++ b/internal/state/burdockkv/mirror.go
@@ -37,8 +37,8 @@
 	return slices.Collect(maps.Values(m.items))
 }
 
-// Known reports whether the keys have been listed once.
-func (m *Mirror) Known() bool {
+// Synced reports whether the keys have been listed once.
+func (m *Mirror) Synced() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.known
@@ -80,8 +80,8 @@
 	m.tell()
 }
 
-// Returned implements Sink.
-func (m *Mirror) Returned(burdockclock.Millis) {}
+// StoreRecovered implements Sink.
+func (m *Mirror) StoreRecovered(burdockclock.Millis) {}
 
 func (m *Mirror) tell() {
 	for _, fn := range m.changed {
--- a/internal/state/burdocksync/puller.go
+++ b/internal/state/burdocksync/puller.go
@@ -57,14 +57,14 @@
 	return &Puller{view: view, source: source, peers: peers, whom: whom, log: log, nudge: make(chan struct{}, 1)}
 }
 
-// NewStayingPuller returns a puller that stays with the address it has drawn
+// NewStickyPuller returns a puller that stays with the address it has drawn
 // while that process answers and is verified.
 //
 // Load: 3,800 agents pull of 350 entries. Harm prevented: a connection that is
 // used again within minutes is closed before, so that each pull would cost a
 // handshake of mutual TLS, 3.8 KB and a millisecond of processor time. One in
 // four does. Those that stay must not ask each other, or an edit might not reach them all.
-func NewStayingPuller(view *burdockconfig.View, source *Source, peers *burdocktransport.Peers, whom func() []string, log *zap.Logger) *Puller {
+func NewStickyPuller(view *burdockconfig.View, source *Source, peers *burdocktransport.Peers, whom func() []string, log *zap.Logger) *Puller {
 	p := NewPuller(view, source, peers, whom, log)
 	p.stays = true
 	return p
@@ -104,9 +104,9 @@
 	}
 }
 
-// Heard takes in the digest that came with a message of another process. One
+// ObserveDigest takes in the digest that came with a message of another process. One
 // that differs leads to a pull soon, so that an edit spreads with the traffic.
-func (p *Puller) Heard(digest burdockconfig.Digest) {
+func (p *Puller) ObserveDigest(digest burdockconfig.Digest) {
 	if digest == p.view.Digest() {
 		return
 	}
--- a/internal/state/burdocksync/puller_test.go
+++ b/internal/state/burdocksync/puller_test.go
@@ -29,7 +29,7 @@
 		sources[address], servers[address] = source, server
 	}
 	view := burdockconfig.NewView()
-	p := NewStayingPuller(view, NewSource(clock), burdocktransport.NewPeers(nil), func() []string { return whom }, zap.NewNop())
+	p := NewStickyPuller(view, NewSource(clock), burdocktransport.NewPeers(nil), func() []string { return whom }, zap.NewNop())
 	return p, sources, servers
 }
 
