--- a/internal/state/burdocksync/burst_test.go
+++ b/internal/state/burdocksync/burst_test.go
@@ -15,9 +15,9 @@
 	"go.uber.org/zap"
 )
 
-// Operators put a fleet in force key by key. Each write ends the watch of each
-// entry, which asks again at once; hundreds of entries would keep the store
-// from its writes. A watcher asks at its own pace, and still gets every key.
+// Operators write the configuration of a fleet key by key. Each write ends the watch of
+// each entry; if hundreds of entries asked again at once, the store could not keep up with
+// the writes. A watcher limits its watches and still receives every key.
 func TestBurstOfWritesDoesNotMultiplyWatches(t *testing.T) {
 	clock := burdockclock.System()
 	injector := burdockfault.NewInjector(burdockfakestore.New(clock))
@@ -26,7 +26,7 @@
 	store := burdockstore.NewHTTP([]string{server.Listener.Addr().String()})
 	view := burdockconfig.NewView()
 	w := NewWatcher(store, view, NewSource(clock), clock, zap.NewNop())
-	began := clock.Boot()
+	startedAt := clock.Boot()
 	w.Start()
 	defer w.Close()
 	writer := NewWriter(store)
@@ -35,15 +35,15 @@
 		if _, err := writer.Write(context.Background(), Edit{Key: fmt.Sprintf("customer/%d", i), Value: []byte("{}")}); err != nil {
 			t.Fatalf("write %d: %v", i, err)
 		}
-		time.Sleep(10 * time.Millisecond) // lets the watch come back in between
+		time.Sleep(10 * time.Millisecond) // the next watch starts in the meantime
 	}
-	for limit := time.Now().Add(time.Minute); view.Len() < writes; time.Sleep(10 * time.Millisecond) {
-		if time.Now().After(limit) {
-			t.Fatalf("keys that came: got %d, want %d", view.Len(), writes)
+	for deadline := time.Now().Add(time.Minute); view.Len() < writes; time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("keys received: got %d, want %d", view.Len(), writes)
 		}
 	}
-	most := int((clock.Boot()-began)/watchGap) + 1
-	if got := injector.Counts()["GET /v1/watch"]; got > most {
-		t.Errorf("watches during %d writes: got %d, want at most %d", writes, got, most)
+	maxWatches := int((clock.Boot()-startedAt)/minWatchInterval) + 1
+	if got := injector.Counts()["GET /v1/watch"]; got > maxWatches {
+		t.Errorf("watches during %d writes: got %d, want at most %d", writes, got, maxWatches)
 	}
 }
--- a/internal/state/burdocksync/fallback.go
+++ b/internal/state/burdocksync/fallback.go
@@ -12,38 +12,38 @@
 )
 
 const (
-	// fallbackCheck is how often a process looks whether it has to read the
-	// store itself. At its start it leaves this much time to its peers, so that
-	// 1,200 starts a day cost the store next to nothing.
-	fallbackCheck = burdockclock.Second
-	// fallbackAfter is how long no peer may have answered before the store is
-	// read. With all entries gone at once, 3,800 agents read it 85 times a
-	// second in all.
-	fallbackAfter = 30 * burdockclock.Second
+	// fallbackCheckInterval is the mean time between two checks of whether a process has
+	// to read the store itself. It also gives peers this much time at a process's start:
+	// 1,200 starts a day then cost the store next to nothing.
+	fallbackCheckInterval = burdockclock.Second
+	// fallbackDelay is how long no peer must have answered before a process reads the
+	// store. If all entries are lost at once, 3,800 agents together read it 85 times a
+	// second.
+	fallbackDelay = 30 * burdockclock.Second
 )
 
-// Fallback reads the store for a process that follows its peers, while no
-// peer is known or none answers: at the first start, or when all entries were
-// replaced and have new addresses.
+// Fallback reads the store for a process that otherwise gets its configuration from
+// peers. It does so while no peer is known or none answers: at the first start, or after
+// all entries were replaced and have new addresses.
 type Fallback struct {
-	watcher *Watcher
-	source  *Source
-	whom    func() []string
-	cancel  context.CancelFunc
-	done    sync.WaitGroup
+	watcher   *Watcher
+	source    *Source
+	addresses func() []string
+	cancel    context.CancelFunc
+	done      sync.WaitGroup
 }
 
-// NewFallback returns a Fallback that is not yet running. The addresses that
-// whom returns are those that the process's puller asks.
-func NewFallback(store burdockstore.Store, view *burdockconfig.View, source *Source, whom func() []string, log *zap.Logger) *Fallback {
+// NewFallback returns a Fallback that is not yet running. addresses returns the peers
+// that the process's Puller asks.
+func NewFallback(store burdockstore.Store, view *burdockconfig.View, source *Source, addresses func() []string, log *zap.Logger) *Fallback {
 	return &Fallback{
-		watcher: NewWatcher(store, view, source, source.clock, log),
-		source:  source,
-		whom:    whom,
+		watcher:   NewWatcher(store, view, source, source.clock, log),
+		source:    source,
+		addresses: addresses,
 	}
 }
 
-// Start begins to look after the configuration.
+// Start begins to check the peers in the background.
 func (f *Fallback) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancel = cancel
@@ -51,7 +51,7 @@
 	go f.loop(ctx)
 }
 
-// Close ends it.
+// Close stops the background checks and waits for them to end.
 func (f *Fallback) Close() {
 	f.cancel()
 	f.done.Wait()
@@ -60,41 +60,42 @@
 func (f *Fallback) loop(ctx context.Context) {
 	defer f.done.Done()
 	for ctx.Err() == nil {
-		sleep(ctx, fallbackCheck/2+rand.N(fallbackCheck))
+		sleep(ctx, fallbackCheckInterval/2+rand.N(fallbackCheckInterval))
 		if ctx.Err() != nil || !f.needed() {
 			continue
 		}
-		f.watcher.listedAt = 0 // read all of it
+		f.watcher.listedAt = 0 // list everything
 		err := f.watcher.once(ctx)
 		if err == nil {
 			f.watcher.failures = 0
 		} else if ctx.Err() == nil {
-			f.watcher.failed(ctx, err)
+			f.watcher.backOff(ctx, err)
 		}
-		sleep(ctx, f.rest(err))
+		sleep(ctx, f.pauseAfter(err))
 	}
 }
 
-// rest returns how long to leave the store alone after it was asked.
+// pauseAfter returns how long to wait after a read of the store, beyond the usual check
+// interval; err is the read's error.
 //
-// Load: 3,800 agents lose all entries and the store at once. Harm: each asks
-// the silent store every 5 to 10 s, over 500 times a second in all, and the
-// returning store is met by as many listings. A process that has a
-// configuration can wait.
-func (f *Fallback) rest(err error) burdockclock.Millis {
-	if f.source.Ready() && (err != nil || len(f.whom()) > 0) {
-		return fallbackAfter + rand.N(fallbackAfter)
+// When 3,800 agents lose all entries and the store at once, each would ask the store
+// every 5 to 10 s, over 500 times a second in all, and send it as many listings when it
+// returns. A process that already has a configuration can wait longer.
+func (f *Fallback) pauseAfter(err error) burdockclock.Millis {
+	if f.source.Ready() && (err != nil || len(f.addresses()) > 0) {
+		return fallbackDelay + rand.N(fallbackDelay)
 	}
 	return 0
 }
 
-// needed reports whether no peer can be relied on.
+// needed reports whether the store has to be read: the process has no configuration, no
+// peer is known, or neither a peer nor the store has answered within fallbackDelay.
 func (f *Fallback) needed() bool {
-	if !f.source.Ready() || len(f.whom()) == 0 {
+	if !f.source.Ready() || len(f.addresses()) == 0 {
 		return true
 	}
 	s := f.source.State()
-	heard := s.PeerAgoMillis >= 0 && s.PeerAgoMillis < fallbackAfter
-	read := s.StoreAgoMillis >= 0 && s.StoreAgoMillis < fallbackAfter
-	return !heard && !read
+	peerRecent := s.PeerAgoMillis >= 0 && s.PeerAgoMillis < fallbackDelay
+	storeRecent := s.StoreAgoMillis >= 0 && s.StoreAgoMillis < fallbackDelay
+	return !peerRecent && !storeRecent
 }
--- a/internal/state/burdocksync/fuzz_test.go
+++ b/internal/state/burdocksync/fuzz_test.go
@@ -12,8 +12,8 @@
 	"connectrpc.com/connect"
 )
 
-// FuzzSync asks for configuration with hostile digests. Whoever asks gets
-// entries that bring it to the same configuration, or is asked for buckets.
+// FuzzSync sends Sync requests with arbitrary digests. The answer either contains the
+// entries that lead to the same configuration, or asks for bucket digests.
 func FuzzSync(f *testing.F) {
 	f.Fuzz(func(t *testing.T, digest uint64, buckets []byte, verified bool) {
 		view := burdockconfig.NewView()
@@ -29,13 +29,13 @@
 		if res.Msg.GetVerified() != verified {
 			t.Errorf("verified: got %v, want %v", res.Msg.GetVerified(), verified)
 		}
-		fresh := burdockconfig.NewView()
-		fresh.Merge(fromWire(res.Msg.GetEntries()))
-		if digest == 0 && len(req.BucketDigests) == 0 && fresh.Digest() != view.Digest() {
-			t.Errorf("from nothing: got digest %x, want %x", fresh.Digest(), view.Digest())
+		received := burdockconfig.NewView()
+		received.Merge(fromWire(res.Msg.GetEntries()))
+		if digest == 0 && len(req.BucketDigests) == 0 && received.Digest() != view.Digest() {
+			t.Errorf("from an empty view: got digest %x, want %x", received.Digest(), view.Digest())
 		}
 		if res.Msg.GetNeedBuckets() && len(res.Msg.GetEntries()) > 0 {
-			t.Errorf("got %d entries and a wish for buckets, want one of them", len(res.Msg.GetEntries()))
+			t.Errorf("got %d entries and a request for buckets, want one of them", len(res.Msg.GetEntries()))
 		}
 	})
 }
--- a/internal/state/burdocksync/handler.go
+++ b/internal/state/burdocksync/handler.go
@@ -1,6 +1,6 @@
-// Package burdocksync keeps a process's configuration up to date: from the
-// platform's store, and from other processes while the store is out. Few
-// processes watch the store; all others ask those few.
+// Package burdocksync keeps a process's configuration up to date. A few processes watch
+// the platform's store, and all others pull from those few. During an outage of the store
+// processes still pull from each other.
 package burdocksync
 
 import (
@@ -12,13 +12,13 @@
 	"connectrpc.com/connect"
 )
 
-// Handler answers other processes that ask for configuration.
+// Handler answers the Sync calls of other processes that ask for configuration.
 type Handler struct {
 	view   *burdockconfig.View
 	source *Source
 }
 
-// NewHandler returns a burdockwire.PeerServiceHandler that passes view on.
+// NewHandler returns a burdockwire.PeerServiceHandler that serves the entries of view.
 func NewHandler(view *burdockconfig.View, source *Source) *Handler {
 	return &Handler{view: view, source: source}
 }
@@ -26,13 +26,13 @@
 // Sync implements burdockwire.PeerServiceHandler.
 func (h *Handler) Sync(_ context.Context, req *connect.Request[burdockwire.SyncRequest]) (*connect.Response[burdockwire.SyncResponse], error) {
 	if req.Msg.GetVerified() {
-		h.source.verify()
+		h.source.markVerified()
 	}
 	h.view.Merge(fromWire(req.Msg.GetEntries()))
 	res := &burdockwire.SyncResponse{Digest: uint64(h.view.Digest()), Verified: h.source.Verified()}
 	if buckets := req.Msg.GetBucketDigests(); len(buckets) > 0 {
-		res.BucketDigests = toNumbers(h.view.Buckets())
-		res.Entries = toWire(h.view.Differing(digestsOf(buckets)))
+		res.BucketDigests = digestsToWire(h.view.Buckets())
+		res.Entries = toWire(h.view.Differing(digestsFromWire(buckets)))
 		return connect.NewResponse(res), nil
 	}
 	entries, known := h.view.Since(burdockconfig.Digest(req.Msg.GetDigest()))
@@ -41,7 +41,7 @@
 	return connect.NewResponse(res), nil
 }
 
-func digestsOf(buckets []uint64) []burdockconfig.Digest {
+func digestsFromWire(buckets []uint64) []burdockconfig.Digest {
 	digests := make([]burdockconfig.Digest, len(buckets))
 	for i, b := range buckets {
 		digests[i] = burdockconfig.Digest(b)
@@ -49,7 +49,7 @@
 	return digests
 }
 
-func toNumbers(digests []burdockconfig.Digest) []uint64 {
+func digestsToWire(digests []burdockconfig.Digest) []uint64 {
 	numbers := make([]uint64, len(digests))
 	for i, d := range digests {
 		numbers[i] = uint64(d)
--- a/internal/state/burdocksync/puller.go
+++ b/internal/state/burdocksync/puller.go
@@ -17,60 +17,62 @@
 )
 
 const (
-	// pullEvery is how often a process asks one peer, on average. At 3,800
-	// agents before 350 entries each entry is asked 5.4 times a second.
-	pullEvery   = 2 * burdockclock.Second
-	pullTimeout = 2 * time.Second
-	// nudgeEvery bounds how often traffic can lead to a pull: while an edit
-	// spreads, every message differs.
-	nudgeEvery = 200 * burdockclock.Millis(1)
-	// stayPulls is how many pulls a staying puller makes of one process before
-	// it draws another, within 12 seconds. An entry that is cut off from the
-	// store and from all other entries may still answer, and be told by its own
-	// agents that it is verified. Those who stay with it hear of an edit late:
-	// it has to reach them within the 18 seconds of the design, and before the
-	// 30 seconds after which a removed home's slots get new homes.
-	stayPulls = 4
+	// pullInterval is the mean time between two pulls of a process. With 3,800 agents and
+	// 350 entries each entry is asked 5.4 times a second.
+	pullInterval = 2 * burdockclock.Second
+	pullTimeout  = 2 * time.Second
+	// minTriggerInterval is the minimum time between a pull and the next one that is
+	// triggered by traffic. While an edit spreads, every message carries a different
+	// digest.
+	minTriggerInterval = 200 * burdockclock.Millis(1)
+	// stickyPulls is how many pulls a sticky puller makes from one process before it
+	// chooses another, within 12 seconds. An entry that is partitioned from the store and
+	// from all other entries may still answer, and may count as verified because of the
+	// agents that ask it. Agents that stay with it receive edits late. An edit has to reach
+	// them within the 18 seconds of the design, and before the 30 seconds after which the
+	// key slots of a removed upstream get new owners.
+	stickyPulls = 4
 )
 
-// Puller asks other processes, one at a time, for configuration that this
-// process lacks.
+// Puller asks other processes, one at a time, for configuration entries that this process
+// lacks.
 type Puller struct {
-	view   *burdockconfig.View
-	source *Source
-	peers  *burdocktransport.Peers
-	whom   func() []string
-	log    *zap.Logger
-	nudge  chan struct{}
-	cancel context.CancelFunc
-	done   sync.WaitGroup
-
-	stays bool
-	// current is the process that a staying puller asks; "" to draw one.
+	view      *burdockconfig.View
+	source    *Source
+	peers     *burdocktransport.Peers
+	addresses func() []string
+	log       *zap.Logger
+	trigger   chan struct{}
+	cancel    context.CancelFunc
+	done      sync.WaitGroup
+
+	sticky bool
+	// current is the address that a sticky puller asks; "" means that it has to choose one.
 	current string
-	asked   int // pulls of current
+	pulls   int // since current was chosen
 }
 
-// NewPuller returns a puller that asks the addresses that whom returns, drawn
-// anew for each pull: an edit then spreads among those that ask each other.
-func NewPuller(view *burdockconfig.View, source *Source, peers *burdocktransport.Peers, whom func() []string, log *zap.Logger) *Puller {
-	return &Puller{view: view, source: source, peers: peers, whom: whom, log: log, nudge: make(chan struct{}, 1)}
+// NewPuller returns a puller that asks a random one of addresses for each pull. Edits then
+// spread among processes that ask each other.
+func NewPuller(view *burdockconfig.View, source *Source, peers *burdocktransport.Peers, addresses func() []string, log *zap.Logger) *Puller {
+	return &Puller{view: view, source: source, peers: peers, addresses: addresses, log: log, trigger: make(chan struct{}, 1)}
 }
 
-// NewStickyPuller returns a puller that stays with the address it has drawn
-// while that process answers and is verified.
+// NewStickyPuller returns a puller that asks the same process for up to stickyPulls pulls,
+// as long as that process answers and is verified.
 //
-// Load: 3,800 agents pull of 350 entries. Harm prevented: a connection that is
-// used again within minutes is closed before, so that each pull would cost a
-// handshake of mutual TLS, 3.8 KB and a millisecond of processor time. One in
-// four does. Those that stay must not ask each other, or an edit might not reach them all.
-func NewStickyPuller(view *burdockconfig.View, source *Source, peers *burdocktransport.Peers, whom func() []string, log *zap.Logger) *Puller {
-	p := NewPuller(view, source, peers, whom, log)
-	p.stays = true
+// It is for 3,800 agents that pull from 350 entries. If each pull chose a new entry, idle
+// connections would be closed before they are used again minutes later, and each pull
+// would cost a mutual TLS handshake: 3.8 KB and a millisecond of processor time. A sticky
+// puller pays for one pull in four. Processes with sticky pullers must not ask each other,
+// otherwise an edit might not reach all of them.
+func NewStickyPuller(view *burdockconfig.View, source *Source, peers *burdocktransport.Peers, addresses func() []string, log *zap.Logger) *Puller {
+	p := NewPuller(view, source, peers, addresses, log)
+	p.sticky = true
 	return p
 }
 
-// Start begins to pull.
+// Start begins to pull in the background.
 func (p *Puller) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	p.cancel = cancel
@@ -78,7 +80,7 @@
 	go p.loop(ctx)
 }
 
-// Close ends the pulling.
+// Close stops pulling and waits for a running pull to end.
 func (p *Puller) Close() {
 	p.cancel()
 	p.done.Wait()
@@ -92,32 +94,32 @@
 	}
 }
 
-// wait waits for the next pull, or for news that there is something to pull.
+// wait waits until the next pull is due or triggered, at least minTriggerInterval.
 func (p *Puller) wait(ctx context.Context) {
-	sleep(ctx, nudgeEvery)
-	timer := time.NewTimer((pullEvery/2 + rand.N(pullEvery) - nudgeEvery).Duration())
+	sleep(ctx, minTriggerInterval)
+	timer := time.NewTimer((pullInterval/2 + rand.N(pullInterval) - minTriggerInterval).Duration())
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-p.nudge:
+	case <-p.trigger:
 	case <-ctx.Done():
 	}
 }
 
-// ObserveDigest takes in the digest that came with a message of another process. One
-// that differs leads to a pull soon, so that an edit spreads with the traffic.
+// ObserveDigest compares a digest received with another process's message with the local
+// one. A different digest triggers a pull, which spreads edits along with the traffic.
 func (p *Puller) ObserveDigest(digest burdockconfig.Digest) {
 	if digest == p.view.Digest() {
 		return
 	}
 	select {
-	case p.nudge <- struct{}{}:
-	default: // it is on its way already
+	case p.trigger <- struct{}{}:
+	default: // a pull is already triggered
 	}
 }
 
 func (p *Puller) once(ctx context.Context) {
-	address, ok := p.choose(p.whom())
+	address, ok := p.choose(p.addresses())
 	if !ok {
 		return
 	}
@@ -126,25 +128,25 @@
 		p.log.Debug("peer does not answer", zap.String("peer", address), zap.Error(err))
 	}
 	if err != nil || !verified {
-		p.current = "" // cut off, or gone: others may know more
+		p.current = "" // stopped or partitioned: another process may have newer entries
 	}
 }
 
-// choose returns the process to ask now. One that has left the configuration
-// is not stayed with.
-func (p *Puller) choose(whom []string) (string, bool) {
-	if len(whom) == 0 {
+// choose returns the address to ask next, and false if there is none. A sticky puller
+// keeps the current one while it is among addresses.
+func (p *Puller) choose(addresses []string) (string, bool) {
+	if len(addresses) == 0 {
 		return "", false
 	}
-	if !p.stays || p.asked >= stayPulls || !slices.Contains(whom, p.current) {
-		p.current, p.asked = whom[rand.IntN(len(whom))], 0
+	if !p.sticky || p.pulls >= stickyPulls || !slices.Contains(addresses, p.current) {
+		p.current, p.pulls = addresses[rand.IntN(len(addresses))], 0
 	}
-	p.asked++
+	p.pulls++
 	return p.current, true
 }
 
-// pull brings the view up to what the process at address knows, and reports
-// whether that process knows that it is not cut off.
+// pull merges the entries of the process at address into the view, and reports whether
+// that process is verified; see Source.Verified.
 func (p *Puller) pull(ctx context.Context, address string) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
@@ -154,7 +156,7 @@
 		return false, err
 	}
 	if res.Msg.GetNeedBuckets() {
-		res, err = client.Sync(ctx, connect.NewRequest(&burdockwire.SyncRequest{BucketDigests: toNumbers(p.view.Buckets())}))
+		res, err = client.Sync(ctx, connect.NewRequest(&burdockwire.SyncRequest{BucketDigests: digestsToWire(p.view.Buckets())}))
 		if err != nil {
 			return false, err
 		}
@@ -163,25 +165,25 @@
 		p.log.Info("configuration in force", zap.String("key", e.Key), zap.Uint64("version", uint64(e.Version)), zap.String("from", address))
 	}
 	if res.Msg.GetVerified() {
-		p.source.verify()
+		p.source.markVerified()
 	}
 	if p.view.Len() > 0 {
 		p.source.fire(burdockcharts.ConfigurationEventReadPeer)
 	}
-	return res.Msg.GetVerified(), p.giveBack(ctx, client, res.Msg)
+	return res.Msg.GetVerified(), p.pushMissing(ctx, client, res.Msg)
 }
 
-// giveBack tells a process what it was seen to lack.
+// pushMissing sends a process the entries that its answer shows it to lack.
 //
-// Failure: an agent writes the home of a key, and the store goes out before any
-// watcher has read it. Symptom: entries ask only each other and the store, so
-// what one agent knows reaches nobody for as long as the outage lasts, and the
-// key's requests are led to a home that was given up.
-func (p *Puller) giveBack(ctx context.Context, client burdockwire.PeerServiceClient, answer *burdockwire.SyncResponse) error {
+// An agent may write the owner of a key's slot right before the store fails, when no
+// watcher has read it yet. Entries ask only each other and the store, so without this an
+// entry known to a single agent spreads to no other process until the outage ends, and
+// the key's requests are routed to its former owner.
+func (p *Puller) pushMissing(ctx context.Context, client burdockwire.PeerServiceClient, answer *burdockwire.SyncResponse) error {
 	if len(answer.GetBucketDigests()) == 0 || answer.GetDigest() == uint64(p.view.Digest()) {
 		return nil
 	}
-	entries := p.view.Differing(digestsOf(answer.GetBucketDigests()))
+	entries := p.view.Differing(digestsFromWire(answer.GetBucketDigests()))
 	_, err := client.Sync(ctx, connect.NewRequest(&burdockwire.SyncRequest{Digest: uint64(p.view.Digest()), Entries: toWire(entries)}))
 	return err
 }
--- a/internal/state/burdocksync/giveback_test.go
+++ b/internal/state/burdocksync/pushmissing_test.go
@@ -14,10 +14,10 @@
 	"go.uber.org/zap"
 )
 
-// An agent has written an entry, and the store goes out before any watcher
-// reads it. The entry that the agent asks for news lacks it, and never asks
-// agents itself. After the exchange both hold the same.
-func TestAskedProcessGetsWhatItLacks(t *testing.T) {
+// An agent has written a key, and the store fails before any watcher reads it. The entry
+// that the agent pulls from lacks the key and never asks agents itself. After the pull
+// both have the same configuration.
+func TestPullSendsMissingEntries(t *testing.T) {
 	clock := burdockclock.System()
 	entry, agent := burdockconfig.NewView(), burdockconfig.NewView()
 	common := []burdockconfig.Entry{{Key: "profile/bench", Version: 1, Mark: "a"}}
@@ -28,13 +28,13 @@
 	server := httptest.NewServer(mux)
 	defer server.Close()
 	address := strings.TrimPrefix(server.URL, "http://")
-	whom := func() []string { return []string{address} }
-	p := NewPuller(agent, NewSource(clock), burdocktransport.NewPeers(nil), whom, zap.NewNop())
+	addresses := func() []string { return []string{address} }
+	p := NewPuller(agent, NewSource(clock), burdocktransport.NewPeers(nil), addresses, zap.NewNop())
 	if _, err := p.pull(context.Background(), address); err != nil {
 		t.Fatalf("pull: %v", err)
 	}
 	if _, ok := entry.Get("keyHome/llm-pool/7"); !ok {
-		t.Error("the entry lacks what only the agent knew")
+		t.Error("the entry lacks the key that only the agent had")
 	}
 	if got, want := entry.Digest(), agent.Digest(); got != want {
 		t.Errorf("digest of the entry: got %x, want that of the agent, %x", got, want)
--- a/internal/state/burdocksync/restore.go
+++ b/internal/state/burdocksync/restore.go
@@ -12,42 +12,41 @@
 	"go.uber.org/zap"
 )
 
-// restoreSpread is the time over which the watchers of a fleet begin to put
-// back what the store has lost. The first ones write, and the others see it by
-// their watches. A watcher writes once in half that time at the most, so that
-// 350 watchers write 350 times a second in all, even if everything was lost.
+// restoreSpread is the time over which the watchers of a fleet start to write lost entries
+// back to the store. The first watchers write; the others see those writes in their
+// watches and skip them. The mean time between a watcher's writes is a quarter of it, so
+// 350 watchers write 350 times a second in all even if the store has lost everything.
 const restoreSpread = 4 * burdockclock.Second
 
-// lostEntry is an entry that the store has to get back, and the revision of
-// what stands in its place; 0 for nothing.
+// lostEntry is an entry that has to be written back to the store, and the store's revision
+// of the entry that it replaces; 0 if the key is not there.
 type lostEntry struct {
-	entry burdockconfig.Entry
-	over  burdockstore.Revision
+	entry    burdockconfig.Entry
+	replaces burdockstore.Revision
 }
 
-// putBack writes back one entry that the store has lost, when it is time, and
-// returns how long the next watch may wait.
+// restoreNext writes back one entry that the store has lost, if that is due, and returns
+// how long the next watch may wait.
 //
-// Failure: the store restarts from an older state, after an edit was accepted
-// and passed on. Symptom: processes that start from then on would take up what
-// was in force before the edit, or lack what it added. Each watcher holds the
-// newer entry and puts it back; compare-and-swap makes sure that no later
-// edit is overwritten.
-func (w *Watcher) putBack(ctx context.Context) (burdockclock.Millis, error) {
+// A store may restart from an older state after it accepted an edit that has already
+// spread. Processes that start from then on would apply the configuration from before the
+// edit. Each watcher holds the newer entry and writes it back; compare-and-swap ensures
+// that no later edit is overwritten.
+func (w *Watcher) restoreNext(ctx context.Context) (burdockclock.Millis, error) {
 	if len(w.lost) == 0 {
 		return watchWait, nil
 	}
-	if left := w.putAt - w.clock.Boot(); left > 0 {
+	if left := w.restoreAt - w.clock.Boot(); left > 0 {
 		return min(left, watchWait), nil
 	}
 	next := w.lost[0]
 	w.lost = w.lost[1:]
-	w.putAt = w.clock.Boot() + rand.N(w.spread/2+1)
-	return 1, w.put(ctx, next)
+	w.restoreAt = w.clock.Boot() + rand.N(w.spread/2+1)
+	return 1, w.restore(ctx, next)
 }
 
-// dropFound drops what others have put back, or written anew.
-func (w *Watcher) dropFound(stored []burdockstore.Entry) {
+// dropRestored removes entries from w.lost that others have restored or overwritten since.
+func (w *Watcher) dropRestored(stored []burdockstore.Entry) {
 	for _, s := range stored {
 		w.lost = slices.DeleteFunc(w.lost, func(l lostEntry) bool {
 			return burdockconfig.StorePrefix+l.entry.Key == s.Key
@@ -55,14 +54,14 @@
 	}
 }
 
-// put writes one entry back. Only a store that does not answer is an error:
-// after a conflict somebody else has written.
-func (w *Watcher) put(ctx context.Context, l lostEntry) error {
+// restore writes one entry back. A conflict is no error, since another process has written
+// the key in the meantime.
+func (w *Watcher) restore(ctx context.Context, l lostEntry) error {
 	value, err := burdockconfig.Encode(l.entry)
 	if err != nil {
 		return errorx.Decorate(err, "encode %s", l.entry.Key)
 	}
-	_, err = w.store.CompareAndSwap(ctx, burdockconfig.StorePrefix+l.entry.Key, l.over, value)
+	_, err = w.store.CompareAndSwap(ctx, burdockconfig.StorePrefix+l.entry.Key, l.replaces, value)
 	if errorx.IsOfType(err, burdockstore.ErrConflict) {
 		return nil
 	}
@@ -71,8 +70,9 @@
 	return err
 }
 
-// lostOf returns what must replace entries that the store holds.
-func lostOf(view *burdockconfig.View, stored []burdockstore.Entry) []lostEntry {
+// lostEntries returns the entries that must replace some of those stored, because the store
+// went back to an older state.
+func lostEntries(view *burdockconfig.View, stored []burdockstore.Entry) []lostEntry {
 	var lost []lostEntry
 	for _, s := range stored {
 		e, err := burdockconfig.Decode(s)
@@ -80,41 +80,42 @@
 			continue // a newer release may have written it
 		}
 		if entry, ok := replacement(view, e); ok {
-			lost = append(lost, lostEntry{entry: entry, over: s.Revision})
+			lost = append(lost, lostEntry{entry: entry, replaces: s.Revision})
 		}
 	}
 	return lost
 }
 
-// replacement returns what the store should hold in place of e.
+// replacement returns the entry that the store should hold in place of e, and false if e
+// may stay.
 //
-// Failure: the store loses version 2, and accepts another edit as version 2.
-// Symptom: its operator is told that it is applied, but processes that hold
-// the lost one keep it if its mark is the greater. The accepted edit becomes
-// version 3, which every process takes. It keeps its mark, so that all
-// watchers write the same, and its writer still knows it as its own.
+// The store may lose version 2 of a key and then accept another edit as version 2. Its
+// operator has seen it succeed, but processes that hold the lost version keep it if its
+// mark is greater. The accepted edit therefore becomes version 3, which replaces either
+// one. It keeps its mark, so all watchers write the same entry and its writer still
+// recognizes it.
 func replacement(view *burdockconfig.View, e burdockconfig.Entry) (burdockconfig.Entry, bool) {
-	own, ok := view.Get(e.Key)
+	local, ok := view.Get(e.Key)
 	switch {
-	case !ok || own.Version < e.Version || own.Version == e.Version && own.Mark <= e.Mark:
+	case !ok || local.Version < e.Version || local.Version == e.Version && local.Mark <= e.Mark:
 		return burdockconfig.Entry{}, false
-	case own.Version == e.Version:
+	case local.Version == e.Version:
 		e.Version++
 		return e, true
 	default:
-		return own, true
+		return local, true
 	}
 }
 
-// missingFrom returns the entries of which a whole listing has nothing.
-func missingFrom(view *burdockconfig.View, listing []burdockstore.Entry) []lostEntry {
-	held := make(map[string]bool, len(listing))
+// missingEntries returns the entries of view whose keys a complete listing lacks.
+func missingEntries(view *burdockconfig.View, listing []burdockstore.Entry) []lostEntry {
+	stored := make(map[string]bool, len(listing))
 	for _, s := range listing {
-		held[s.Key] = true
+		stored[s.Key] = true
 	}
 	var missing []lostEntry
 	for _, e := range view.All() {
-		if !held[burdockconfig.StorePrefix+e.Key] {
+		if !stored[burdockconfig.StorePrefix+e.Key] {
 			missing = append(missing, lostEntry{entry: e})
 		}
 	}
--- a/internal/state/burdocksync/source.go
+++ b/internal/state/burdocksync/source.go
@@ -7,30 +7,30 @@
 	"burdockbend.example/burdockbend/internal/state/burdockcharts"
 )
 
-// Source tells where a process has its configuration from.
+// Source records from where, and when, a process last received its configuration.
 type Source struct {
 	clock burdockclock.Clock
 
 	mu      sync.Mutex
 	machine burdockcharts.ConfigurationMachine
-	storeAt burdockclock.Millis // last answer of the store, on the boot clock
+	storeAt burdockclock.Millis // last answer of the store, on the boot clock; 0 for never
 	peerAt  burdockclock.Millis
-	// verifiedAt is when this process last knew that it is not cut off.
+	// verifiedAt is when this process last received an answer that shows that it is not
+	// partitioned; 0 for never.
 	verifiedAt burdockclock.Millis
 }
 
-// verifiedFor is how long a process relies on having heard from others. It is
-// several times the pull interval, longer than a watch of the store waits and
-// a slow store adds, and far shorter than the time that a duty is left alone
-// before another process takes it over.
-const verifiedFor = 15 * burdockclock.Second
+// verifiedTTL is how long a process counts as verified after its last contact. It is several
+// times the pull interval and longer than a watch of a slow store takes, but far shorter
+// than the time after which another process takes over the roles of a silent one.
+const verifiedTTL = 15 * burdockclock.Second
 
-// NewSource returns a source that has heard of nothing yet.
+// NewSource returns a source without any contact yet.
 func NewSource(clock burdockclock.Clock) *Source {
 	return &Source{clock: clock, machine: burdockcharts.NewConfiguration()}
 }
 
-// SourceState is what a dump shows of a source.
+// SourceState is the state of a Source as shown in the state dump.
 type SourceState struct {
 	State          burdockcharts.ConfigurationState `json:"state"`
 	StoreAgoMillis burdockclock.Millis              `json:"storeAgoMillis"`
@@ -38,26 +38,26 @@
 	Verified       bool                             `json:"verified"`
 }
 
-// State returns where the configuration is from. A span is -1 for never.
+// State returns the current state. The times since the last contact are -1 for never.
 func (s *Source) State() SourceState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return SourceState{
 		State:          s.machine.State(),
-		StoreAgoMillis: s.ago(s.storeAt),
-		PeerAgoMillis:  s.ago(s.peerAt),
-		Verified:       s.verifiedAt > 0 && s.clock.Boot()-s.verifiedAt <= verifiedFor,
+		StoreAgoMillis: s.elapsed(s.storeAt),
+		PeerAgoMillis:  s.elapsed(s.peerAt),
+		Verified:       s.verifiedAt > 0 && s.clock.Boot()-s.verifiedAt <= verifiedTTL,
 	}
 }
 
-func (s *Source) ago(at burdockclock.Millis) burdockclock.Millis {
+func (s *Source) elapsed(at burdockclock.Millis) burdockclock.Millis {
 	if at == 0 {
 		return -1
 	}
 	return s.clock.Boot() - at
 }
 
-// Ready reports whether the process has a configuration at all.
+// Ready reports whether the process has a configuration.
 func (s *Source) Ready() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,22 +71,22 @@
 	return s.machine.State() == burdockcharts.ConfigurationCurrent
 }
 
-// Verified reports whether the process has heard, within seconds, from the
-// store, or from a process that was itself verified.
+// Verified reports whether the process has, within verifiedTTL, received an answer from the
+// store, or an exchange with a process that was itself verified.
 //
-// Failure: a process is frozen, or cut off, while others take over its duties;
-// then it wakes and believes it still holds them. Symptom: two homes of one
-// key. The time counts while a VM is suspended, so a process that wakes is not
-// verified, and those frozen with it can't verify it; it first has to hear of
+// It protects against a process that is suspended or partitioned while others take over
+// its roles, and that resumes in the belief that it still has them: one key slot would have
+// two owners. The boot clock goes on while a VM is suspended, so a process that resumes is
+// not verified, and processes suspended with it can't verify it. It first has to receive
 // what changed.
 func (s *Source) Verified() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.verifiedAt > 0 && s.clock.Boot()-s.verifiedAt <= verifiedFor
+	return s.verifiedAt > 0 && s.clock.Boot()-s.verifiedAt <= verifiedTTL
 }
 
-// verify records that a verified process, or the store, was heard from.
-func (s *Source) verify() {
+// markVerified records contact with the store or with a verified process.
+func (s *Source) markVerified() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.verifiedAt = s.clock.Boot()
--- a/internal/state/burdocksync/watcher.go
+++ b/internal/state/burdocksync/watcher.go
@@ -15,37 +15,38 @@
 )
 
 const (
-	// watchWait is how long one watch waits. A waiting watch counts as a call,
-	// so a longer one is cheaper; a shorter one finds a dead store sooner.
+	// watchWait is how long one watch waits for a change. A longer wait needs fewer calls;
+	// a shorter one detects sooner that the store has failed.
 	watchWait = 10 * burdockclock.Second
-	// watchGap is the least time between the starts of two watches, the first of
-	// which brought something. Each write ends every waiting watch: a burst of
-	// them, such as the homes of a new service's keys or a whole fleet put in
-	// force, would else have 350 watchers ask again as fast as the store answers,
-	// which takes two thousand reads a second. With the gap it is 700, and a
-	// change that comes alone waits for nothing.
-	watchGap = 500 * burdockclock.Millis(1)
-	// relistLeast and relistPerKey bound how long a fault of the store's watch
-	// can hide an edit from all watchers. Load: 10,000 keys, of 400 bytes each
-	// in a listing, before 350 watchers. Harm: a listing every 5 minutes takes
-	// 14 KB/s of a node. The time for each key holds it to 1 KB/s; what one
-	// watcher of the fleet finds, the others hear of.
-	relistLeast  = 5 * burdockclock.Minute
-	relistPerKey = 400 * burdockclock.Millis(1)
-	// retryFirst spreads the first tries after a short outage: with 350 watchers
-	// the store gets 700 listings a second for half a second.
-	retryFirst = burdockclock.Second
-	retryMost  = 10 * burdockclock.Second
+	// minWatchInterval is the minimum time between the start of a watch that returned
+	// changes and the start of the next one. Each write ends every waiting watch. A burst of
+	// writes, such as the owners of a new service's key slots or the configuration of a
+	// whole fleet, would make 350 watchers ask again as fast as the store answers, which is
+	// two thousand reads a second. The interval limits it to 700, and a single change is not
+	// delayed.
+	minWatchInterval = 500 * burdockclock.Millis(1)
+	// minRelistInterval and relistIntervalPerKey determine the time between two listings,
+	// and with it how long a fault of the store's watch can hide an edit from all watchers.
+	// With 10,000 keys of 400 bytes each, a listing every 5 minutes takes 14 KB/s of a node;
+	// the interval per key limits that to 1 KB/s. What one of the 350 watchers finds spreads
+	// to the others.
+	minRelistInterval    = 5 * burdockclock.Minute
+	relistIntervalPerKey = 400 * burdockclock.Millis(1)
+	// firstRetryPause spreads the first retries after a short outage: the store receives
+	// the listings of 350 watchers at 700 a second, for half a second.
+	firstRetryPause = burdockclock.Second
+	maxRetryPause   = 10 * burdockclock.Second
 )
 
-// Watcher follows the store for this process and all that ask it.
+// Watcher keeps the view up to date with the store, for this process and for those that
+// pull from it.
 type Watcher struct {
 	store  burdockstore.Store
 	view   *burdockconfig.View
 	source *Source
 	log    *zap.Logger
 	clock  burdockclock.Clock
-	spread burdockclock.Millis // restoreSpread, but in tests
+	spread burdockclock.Millis // restoreSpread, except in tests
 
 	cancel context.CancelFunc
 	done   sync.WaitGroup
@@ -53,11 +54,11 @@
 	failures int
 	revision burdockstore.Revision
 	listedAt burdockclock.Millis
-	// relistAfter is drawn anew with each listing.
+	// relistAfter is the time from this listing to the next, random for each listing.
 	relistAfter burdockclock.Millis
-	spots       spots
-	lost        []lostEntry // what the store has to get back, in random order
-	putAt       burdockclock.Millis
+	spotCheck   spotChecker
+	lost        []lostEntry // to be written back to the store, in random order
+	restoreAt   burdockclock.Millis
 }
 
 // NewWatcher returns a watcher that is not yet running.
@@ -65,7 +66,7 @@
 	return &Watcher{store: store, view: view, source: source, clock: clock, log: log, spread: restoreSpread}
 }
 
-// Start begins to watch.
+// Start begins to watch in the background.
 func (w *Watcher) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	w.cancel = cancel
@@ -73,7 +74,7 @@
 	go w.loop(ctx)
 }
 
-// Close ends the watch.
+// Close ends the watch and waits for the background work to stop.
 func (w *Watcher) Close() {
 	w.cancel()
 	w.done.Wait()
@@ -83,61 +84,62 @@
 	defer w.done.Done()
 	for ctx.Err() == nil {
 		if err := w.once(ctx); err != nil && ctx.Err() == nil {
-			w.failed(ctx, err)
+			w.backOff(ctx, err)
 			continue
 		}
 		w.failures = 0
 	}
 }
 
-// once reads the whole configuration or waits for what is new.
+// once lists the whole configuration if that is due. Otherwise it writes back one lost
+// entry, does a spot check, and watches for changes.
 func (w *Watcher) once(ctx context.Context) error {
 	due := w.listedAt == 0 || w.failures > 0 || w.clock.Boot()-w.listedAt > w.relistAfter
 	if due {
 		return w.list(ctx)
 	}
-	wait, err := w.putBack(ctx)
+	wait, err := w.restoreNext(ctx)
 	if err != nil {
 		return err
 	}
-	if older, err := w.spots.check(ctx, w.clock.Boot(), w.store); err != nil {
+	if older, err := w.spotCheck.check(ctx, w.clock.Boot(), w.store); err != nil {
 		return err
 	} else if older {
-		w.log.Warn("the store lacks a write that it had; reading all of it")
+		w.log.Warn("the store has lost a write; listing all keys")
 		w.listedAt = 0
 		return nil
 	}
-	began := w.clock.Boot()
+	startedAt := w.clock.Boot()
 	stored, revision, err := w.store.Watch(ctx, burdockconfig.StorePrefix, w.revision, wait)
 	if err != nil {
 		return err
 	}
-	w.take(stored)
-	w.dropFound(stored)
-	if revision < w.revision || len(lostOf(w.view, stored)) > 0 {
-		w.listedAt = 0 // the store went back to an older state: read all of it
+	w.apply(stored)
+	w.dropRestored(stored)
+	if revision < w.revision || len(lostEntries(w.view, stored)) > 0 {
+		w.listedAt = 0 // the store went back to an older state: list everything
 	}
 	w.revision = revision
 	if len(stored) > 0 {
-		sleep(ctx, began+watchGap-w.clock.Boot())
+		sleep(ctx, startedAt+minWatchInterval-w.clock.Boot())
 	}
 	return nil
 }
 
-// list reads the whole configuration, and notes what the store has lost.
+// list reads the whole configuration and finds the entries that the store has lost.
 func (w *Watcher) list(ctx context.Context) error {
-	stored, err := w.read(ctx)
+	stored, err := w.readAll(ctx)
 	if err != nil {
 		return err
 	}
-	w.lost = append(lostOf(w.view, stored), missingFrom(w.view, stored)...)
+	w.lost = append(lostEntries(w.view, stored), missingEntries(w.view, stored)...)
 	rand.Shuffle(len(w.lost), func(i, j int) { w.lost[i], w.lost[j] = w.lost[j], w.lost[i] })
-	w.putAt = w.clock.Boot() + rand.N(w.spread)
+	w.restoreAt = w.clock.Boot() + rand.N(w.spread)
 	return nil
 }
 
-// read takes in all that the store holds.
-func (w *Watcher) read(ctx context.Context) ([]burdockstore.Entry, error) {
+// readAll lists and applies all entries of the store.
+func (w *Watcher) readAll(ctx context.Context) ([]burdockstore.Entry, error) {
 	stored, revision, err := w.store.List(ctx, burdockconfig.StorePrefix)
 	if err != nil {
 		return nil, err
@@ -145,13 +147,13 @@
 	w.listedAt = w.clock.Boot()
 	w.relistAfter = relistPause(len(stored))
 	w.revision = revision
-	w.take(stored)
+	w.apply(stored)
 	return stored, nil
 }
 
-func (w *Watcher) take(stored []burdockstore.Entry) {
-	w.source.verify()
-	w.spots.note(stored)
+func (w *Watcher) apply(stored []burdockstore.Entry) {
+	w.source.markVerified()
+	w.spotCheck.record(stored)
 	var entries []burdockconfig.Entry
 	for _, s := range stored {
 		e, err := burdockconfig.Decode(s)
@@ -164,17 +166,17 @@
 	for _, e := range w.view.Merge(entries) {
 		w.log.Info("configuration in force", zap.String("key", e.Key), zap.Uint64("version", uint64(e.Version)))
 	}
-	if w.view.Len() > 0 { // an empty store says only that nothing was ever applied
+	if w.view.Len() > 0 { // an empty store only means that no configuration was ever written
 		w.source.fire(burdockcharts.ConfigurationEventReadStore)
 	}
 }
 
-// failed waits before the next try.
+// backOff records a failed call and waits before the next one.
 //
-// Load: every watcher of the fleet loses the store at one moment and finds it
-// again at one moment. Harm: a returning store is met by all of them at once
-// and goes down again. The pause grows, and a random part of it spreads them.
-func (w *Watcher) failed(ctx context.Context, err error) {
+// All watchers of a fleet lose the store at the same moment and reach it again at the same
+// moment. If all retried at once, a store that recovers would fail again. The pause
+// therefore grows, and half of it is random.
+func (w *Watcher) backOff(ctx context.Context, err error) {
 	w.failures++
 	if w.failures == 1 || !errorx.IsOfType(err, burdockstore.ErrUnavailable) {
 		w.log.Warn("store does not answer", zap.Error(err))
@@ -183,16 +185,16 @@
 	sleep(ctx, retryPause(w.failures))
 }
 
-// retryPause returns how long to wait after a number of failures in a row.
+// retryPause returns how long to wait after a number of consecutive failures.
 func retryPause(failures int) burdockclock.Millis {
-	pause := min(retryFirst<<min(failures-1, 5), retryMost)
+	pause := min(firstRetryPause<<min(failures-1, 5), maxRetryPause)
 	return pause/2 + rand.N(pause/2+1)
 }
 
-// relistPause returns how long after a listing of a number of keys the next
-// one is due. Watchers that listed together, after an outage, don't meet again.
+// relistPause returns the time from a listing with this many keys to the next one. It is
+// random, so watchers that listed at the same time after an outage spread out again.
 func relistPause(keys int) burdockclock.Millis {
-	pause := max(relistLeast, burdockclock.Millis(keys)*relistPerKey)
+	pause := max(minRelistInterval, burdockclock.Millis(keys)*relistIntervalPerKey)
 	return pause/2 + rand.N(pause)
 }
 
--- a/internal/state/burdocksync/writer.go
+++ b/internal/state/burdocksync/writer.go
@@ -14,25 +14,25 @@
 var writeErrors = errorx.NewNamespace("write")
 
 var (
-	// ErrRace says that another operator's edit came first. Nothing was written.
+	// ErrRace means that another operator's edit came first. Nothing was written.
 	ErrRace = writeErrors.NewType("race")
-	// ErrOutcomeUnknown says that no answer came in time: the edit may or may
-	// not be in the store.
+	// ErrOutcomeUnknown means that no answer came in time: the edit may or may not be in
+	// the store.
 	ErrOutcomeUnknown = writeErrors.NewType("outcomeUnknown")
 )
 
 const (
-	writeTries      = 6
+	writeAttempts   = 6
 	writeRetryPause = 500 * burdockclock.Millis(1)
 )
 
-// Edit is one change of one key.
+// Edit is a change of one key.
 type Edit struct {
 	Key     string
 	Value   []byte
 	Deleted bool
-	// Base is the version that the operator's edit started from. With AnyBase
-	// it replaces whatever is there.
+	// Base is the version that the operator's edit is based on. With AnyBase the edit
+	// replaces any version.
 	Base    burdockid.Version
 	AnyBase bool
 }
@@ -48,8 +48,8 @@
 	return &Writer{store: store, mark: func() string { return string(burdockid.NewRequest()) }}
 }
 
-// Write carries an edit out and returns the entry that is then in the store.
-// An edit that changes nothing writes nothing.
+// Write applies an edit to the store and returns the resulting entry. An edit that changes
+// nothing is not written.
 func (w *Writer) Write(ctx context.Context, edit Edit) (burdockconfig.Entry, error) {
 	var current burdockconfig.Entry
 	var revision burdockstore.Revision
@@ -76,12 +76,13 @@
 	return w.swap(ctx, next, revision)
 }
 
-// swap writes the entry over a revision until the store gives a clear answer.
+// swap replaces a revision of an entry, and retries until the store gives a definite
+// answer.
 //
-// Failure: the store's answer is lost after the write took effect. Symptom:
-// the writer can't tell, and a plain second try is reported as a lost race
-// against itself. Each try here is the same write over the same revision, so
-// at most one takes effect; on a conflict the mark tells whose write is there.
+// The store's answer may be lost after the write took effect; a plain second attempt then
+// reports a conflict with the writer's own first one. Here each attempt is the same write
+// over the same revision, so at most one takes effect, and on a conflict the entry's mark
+// shows which writer wrote it.
 func (w *Writer) swap(ctx context.Context, next burdockconfig.Entry, revision burdockstore.Revision) (burdockconfig.Entry, error) {
 	value, err := burdockconfig.Encode(next)
 	if err != nil {
@@ -97,36 +98,37 @@
 	case err == nil:
 		return next, nil
 	case errorx.IsOfType(err, burdockstore.ErrConflict):
-		return w.whose(ctx, next)
+		return w.resolveConflict(ctx, next)
 	case errorx.IsOfType(err, burdockstore.ErrRefused) && !unanswered:
-		return burdockconfig.Entry{}, err // no try was written
+		return burdockconfig.Entry{}, err // no attempt was written
 	default:
 		return burdockconfig.Entry{}, ErrOutcomeUnknown.Wrap(err, "%s version %d mark %s", next.Key, next.Version, next.Mark)
 	}
 }
 
-// whose tells after a conflict whether the store holds the writer's own entry.
-func (w *Writer) whose(ctx context.Context, own burdockconfig.Entry) (burdockconfig.Entry, error) {
+// resolveConflict reads the entry after a conflict and returns it without an error if it is
+// the one that this writer wrote.
+func (w *Writer) resolveConflict(ctx context.Context, written burdockconfig.Entry) (burdockconfig.Entry, error) {
 	var current burdockconfig.Entry
 	err := w.retry(ctx, func() (err error) {
-		current, _, err = Read(ctx, w.store, own.Key)
+		current, _, err = Read(ctx, w.store, written.Key)
 		return err
 	})
 	switch {
 	case err != nil:
-		return burdockconfig.Entry{}, ErrOutcomeUnknown.Wrap(err, "%s version %d mark %s", own.Key, own.Version, own.Mark)
-	case current.Mark == own.Mark:
+		return burdockconfig.Entry{}, ErrOutcomeUnknown.Wrap(err, "%s version %d mark %s", written.Key, written.Version, written.Mark)
+	case current.Mark == written.Mark:
 		return current, nil
-	case current.Version > own.Version:
-		// The own write may have taken effect and been replaced since.
-		return current, ErrOutcomeUnknown.New("%s is at version %d by now; the edit was version %d, mark %s", own.Key, current.Version, own.Version, own.Mark)
+	case current.Version > written.Version:
+		// This write may have taken effect and been replaced since.
+		return current, ErrOutcomeUnknown.New("%s is at version %d by now; the edit was version %d, mark %s", written.Key, current.Version, written.Version, written.Mark)
 	default:
-		return current, ErrRace.New("%s: another edit became version %d first", own.Key, current.Version)
+		return current, ErrRace.New("%s: another edit became version %d first", written.Key, current.Version)
 	}
 }
 
-// Read returns the entry of key in the store and its revision. A key that the
-// store does not have is at version 0.
+// Read returns the entry of key in the store and its revision. A key that the store does
+// not have is at version and revision 0.
 func Read(ctx context.Context, store burdockstore.Store, key string) (burdockconfig.Entry, burdockstore.Revision, error) {
 	stored, err := store.Get(ctx, burdockconfig.StorePrefix+key)
 	if errorx.IsOfType(err, burdockstore.ErrNotFound) {
@@ -139,10 +141,11 @@
 	return e, stored.Revision, err
 }
 
-// retry repeats what can be repeated while the store gives no answer.
+// retry repeats an idempotent call while the store gives no answer, up to writeAttempts
+// times.
 func (w *Writer) retry(ctx context.Context, call func() error) error {
 	var err error
-	for range writeTries {
+	for range writeAttempts {
 		err = call()
 		if !errorx.IsOfType(err, burdockstore.ErrUnavailable) || ctx.Err() != nil {
 			return err
