--- a/internal/state/burdockkv/follower_test.go
+++ b/internal/state/burdockkv/follower_test.go
@@ -10,14 +10,14 @@
 	"go.uber.org/zap"
 )
 
-// scripted is a store whose watches are answered from a script. A watch beyond
-// the script waits until the test ends, as one does that hears nothing.
-type scripted struct {
-	mu      sync.Mutex
-	value   string
-	rev     Revision
-	watches []watchAnswer
-	afters  []Revision
+// scriptedStore is a store that answers watches from a list. When the list is used up, a
+// watch waits until the test ends, as if there were no change.
+type scriptedStore struct {
+	mu           sync.Mutex
+	value        string
+	rev          Revision
+	watches      []watchAnswer
+	watchedAfter []Revision
 }
 
 type watchAnswer struct {
@@ -26,15 +26,15 @@
 	err   error
 }
 
-func (s *scripted) List(context.Context, string) ([]Item, Revision, error) {
+func (s *scriptedStore) List(context.Context, string) ([]Item, Revision, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return []Item{{Key: "a", Value: []byte(s.value), Revision: s.rev}}, s.rev, nil
 }
 
-func (s *scripted) Watch(ctx context.Context, _ string, after Revision, _ burdockclock.Millis) ([]Item, Revision, error) {
+func (s *scriptedStore) Watch(ctx context.Context, _ string, after Revision, _ burdockclock.Millis) ([]Item, Revision, error) {
 	s.mu.Lock()
-	s.afters = append(s.afters, after)
+	s.watchedAfter = append(s.watchedAfter, after)
 	if len(s.watches) > 0 {
 		answer := s.watches[0]
 		s.watches = s.watches[1:]
@@ -46,12 +46,12 @@
 	return nil, 0, ctx.Err()
 }
 
-func (s *scripted) Write(context.Context, []Condition, []Put) (Revision, error) { return 0, nil }
-func (s *scripted) Grant(context.Context, burdockclock.Millis) (LeaseID, error) { return 0, nil }
-func (s *scripted) Renew(context.Context, LeaseID) error                        { return nil }
-func (s *scripted) Revoke(context.Context, LeaseID) error                       { return nil }
+func (s *scriptedStore) Write(context.Context, []Condition, []Put) (Revision, error) { return 0, nil }
+func (s *scriptedStore) Grant(context.Context, burdockclock.Millis) (LeaseID, error) { return 0, nil }
+func (s *scriptedStore) Renew(context.Context, LeaseID) error                        { return nil }
+func (s *scriptedStore) Revoke(context.Context, LeaseID) error                       { return nil }
 
-// awaitValue waits until the mirror shows a value.
+// awaitValue waits until the mirror holds a value for key "a".
 func awaitValue(t *testing.T, m *Mirror, want string) {
 	t.Helper()
 	deadline := time.Now().Add(10 * time.Second)
@@ -66,7 +66,7 @@
 	t.Errorf("got %q, want %q", got, want)
 }
 
-func follow(t *testing.T, s *scripted) *Mirror {
+func startFollower(t *testing.T, s *scriptedStore) *Mirror {
 	t.Helper()
 	m := NewMirror()
 	f := NewFollower(s, WatchOptions{}, m, burdockclock.System(), zap.NewNop())
@@ -75,14 +75,13 @@
 	return m
 }
 
-// A caller's request is refused by a route that a newer configuration has.
-// The store hears no changes for a moment, then cuts all watches and drops its
-// history. A watch that is opened again before the history is gone is neither
-// cut nor told of what it missed, and waits for the next change. So after a
-// watch was cut all keys have to be read again.
+// The store receives no changes for a moment, then cuts all watches and drops its history.
+// A watch that is reopened before the history is dropped is not cut, misses the changes,
+// and waits for the next one; an entry then refuses a request whose route is in the newer
+// configuration. All keys must therefore be listed again after a watch was cut.
 func TestCutWatchListsAgain(t *testing.T) {
-	s := &scripted{value: "old", rev: 1, watches: []watchAnswer{{err: ErrUnavailable.New("connection reset")}}}
-	m := follow(t, s)
+	s := &scriptedStore{value: "old", rev: 1, watches: []watchAnswer{{err: ErrUnavailable.New("connection reset")}}}
+	m := startFollower(t, s)
 	awaitValue(t, m, "old")
 	s.mu.Lock()
 	s.value, s.rev = "new", 2
@@ -90,46 +89,46 @@
 	awaitValue(t, m, "new")
 }
 
-// A caller's request is refused by a route that a newer configuration has.
-// A watch ends without a change while the store hears none, and its answer
-// names the store's present revision, which lies behind a change that was not
-// told. Watching on from there would miss that change for good.
-func TestEmptyWatchGoesNotOn(t *testing.T) {
-	s := &scripted{value: "old", rev: 1, watches: []watchAnswer{
+// A watch ends without a change while the store receives none, but its answer has the
+// store's current revision, which includes a change that was not reported. A watch after
+// that revision would never see the change, and an entry would refuse a request whose
+// route is in the newer configuration.
+func TestEmptyWatchDoesNotAdvance(t *testing.T) {
+	s := &scriptedStore{value: "old", rev: 1, watches: []watchAnswer{
 		{rev: 7},
 		{items: []Item{{Key: "a", Value: []byte("new"), Revision: 5}}, rev: 7},
 	}}
-	m := follow(t, s)
+	m := startFollower(t, s)
 	awaitValue(t, m, "new")
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if got, want := s.afters[1], Revision(1); got != want {
+	if got, want := s.watchedAfter[1], Revision(1); got != want {
 		t.Errorf("second watch after revision %d, want %d", got, want)
 	}
 }
 
-// All processes of a large fleet read the same keys again at one moment. Nothing
-// changes under a prefix for longer than the store keeps its history, and a watch
-// that goes on from the revision of the last change is refused. It has to go on
-// from one that the store still knows, but from none that the latest watch alone
-// has seen: the store may not have heard a change by then.
-func TestWatchAtRestStaysWithinTheHistory(t *testing.T) {
-	s := &scripted{value: "old", rev: 1, watches: []watchAnswer{
+// Nothing changes under a prefix for longer than the store keeps its history. If watches
+// still started after the revision of the last change, the store would refuse them, and all
+// processes of a large fleet would list the same keys at the same moment. A watch must start
+// at a revision that the store still has, but not at one that only the latest watch has
+// returned, because the store may not have received all changes by then.
+func TestIdleWatchStaysWithinHistory(t *testing.T) {
+	s := &scriptedStore{value: "old", rev: 1, watches: []watchAnswer{
 		{rev: 7}, {rev: 9}, {rev: 12},
 		{items: []Item{{Key: "a", Value: []byte("new"), Revision: 13}}, rev: 14},
 	}}
-	m := follow(t, s)
+	m := startFollower(t, s)
 	awaitValue(t, m, "new")
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i, want := range []Revision{1, 1, 7, 9} {
-		if got := s.afters[i]; got != want {
+		if got := s.watchedAfter[i]; got != want {
 			t.Errorf("watch %d after revision %d, want %d", i, got, want)
 		}
 	}
 }
 
-func TestWatchIsShorterThanTheHistory(t *testing.T) {
+func TestWatchIsShorterThanHistory(t *testing.T) {
 	for history, want := range map[burdockclock.Millis]burdockclock.Millis{0: 25_000, 20_000: 16_000, 5_000: 4_000, 60_000: 25_000} {
 		if got := (WatchOptions{History: history}).wait(); got != want {
 			t.Errorf("history of %d ms: got a watch of %d ms, want %d ms", history, got, want)
@@ -137,17 +136,17 @@
 	}
 }
 
-// Hundreds of agents start some seconds before the operators write the first
-// configuration, which each of them needs. Asked again and again, the store would
-// get as many calls as it takes from the whole site.
-func TestPollerWaitsForWhatItNeeds(t *testing.T) {
-	s := &scripted{rev: 1, watches: []watchAnswer{{items: []Item{{Key: "a", Value: []byte("first"), Revision: 2}}, rev: 2}}}
+// Hundreds of agents start some seconds before the operators write the first configuration,
+// which each agent needs. If they listed repeatedly, their calls alone would reach what the
+// store can take from the whole site.
+func TestPollerWatchesUntilSatisfied(t *testing.T) {
+	s := &scriptedStore{rev: 1, watches: []watchAnswer{{items: []Item{{Key: "a", Value: []byte("first"), Revision: 2}}, rev: 2}}}
 	m := NewMirror()
 	p := NewPoller(s, "", m, burdockclock.Minute, func() bool { item, _ := m.Get("a"); return string(item.Value) == "first" }, zap.NewNop())
 	p.Start()
 	awaitValue(t, m, "first")
 	p.Close()
-	if got, want := len(s.afters), 1; got != want {
+	if got, want := len(s.watchedAfter), 1; got != want {
 		t.Errorf("got %d watches, want %d", got, want)
 	}
 }
--- a/internal/state/burdockkv/kv.go
+++ b/internal/state/burdockkv/kv.go
@@ -1,5 +1,5 @@
-// Package burdockkv is the system's view of a platform's key-value store with
-// conditions, watches and leases on keys.
+// Package burdockkv defines the interface to the platform's key-value store, which has
+// conditional writes, watches and leases on keys, and follows keys in it.
 package burdockkv
 
 import (
@@ -9,14 +9,14 @@
 	"github.com/joomcode/errorx"
 )
 
-// Revision is the store's count of changes; it only grows. 0 stands for a key
-// that doesn't exist.
+// Revision is the store's change counter, which only grows. As a key's revision, 0 means
+// that the key does not exist.
 type Revision int64
 
-// LeaseID names a lease; 0 is none.
+// LeaseID identifies a lease; 0 means none.
 type LeaseID int64
 
-// Item is one key as it was written, or that it was deleted.
+// Item is the current state of a key, or its deletion.
 type Item struct {
 	Key      string
 	Value    []byte
@@ -26,36 +26,36 @@
 	Deleted  bool
 }
 
-// Condition is a revision that a key must have.
+// Condition requires that a key has a revision; see Store.Write.
 type Condition struct {
 	Key      string
 	Revision Revision
 }
 
-// Put is one key to be written.
+// Put is a write of one key.
 type Put struct {
 	Key   string
 	Value []byte
 	Lease LeaseID
 }
 
-// Store makes the calls of the platform's store. Errors are of the types below;
-// after an ErrUnavailable a write may have taken effect, or may yet.
+// Store is a client of the platform's store. Errors are of the types below; after an
+// ErrUnavailable a write may have taken effect, or may still do so.
 type Store interface {
-	// List returns all keys under a prefix, and the revision from which a watch
-	// misses nothing.
+	// List returns all keys under a prefix, and the revision after which a watch misses no
+	// change.
 	List(ctx context.Context, prefix string) ([]Item, Revision, error)
-	// Watch waits for changes under a prefix after a revision, and returns them
-	// with the revision to go on from. An ErrCompacted says that they are no
-	// longer known.
+	// Watch waits for changes under a prefix after a revision, and returns them with the
+	// revision for the next watch. An ErrCompacted means that the store no longer has the
+	// changes after that revision.
 	Watch(ctx context.Context, prefix string, after Revision, wait burdockclock.Millis) ([]Item, Revision, error)
-	// Write puts keys if all conditions hold, else it returns an ErrConflict.
+	// Write writes keys if all conditions hold, otherwise it returns an ErrConflict.
 	Write(ctx context.Context, conditions []Condition, puts []Put) (Revision, error)
 	// Grant creates a lease.
 	Grant(ctx context.Context, ttl burdockclock.Millis) (LeaseID, error)
-	// Renew renews a lease; an ErrNotFound says that it has ended.
+	// Renew renews a lease; an ErrNotFound means that it has ended.
 	Renew(ctx context.Context, lease LeaseID) error
-	// Revoke ends a lease and removes its keys.
+	// Revoke ends a lease and deletes its keys.
 	Revoke(ctx context.Context, lease LeaseID) error
 }
 
@@ -63,12 +63,12 @@
 var Errors = errorx.NewNamespace("kv")
 
 var (
-	// ErrNotFound says that a lease does not exist, or no longer.
+	// ErrNotFound means that a lease does not exist, or has ended.
 	ErrNotFound = Errors.NewType("notFound")
-	// ErrConflict says that a condition of a write did not hold.
+	// ErrConflict means that a condition of a write did not hold.
 	ErrConflict = Errors.NewType("conflict")
-	// ErrCompacted says that the history asked for is no longer there.
+	// ErrCompacted means that the store no longer has the requested history.
 	ErrCompacted = Errors.NewType("compacted")
-	// ErrUnavailable says that no answer came.
+	// ErrUnavailable means that the store did not answer.
 	ErrUnavailable = Errors.NewType("unavailable")
 )
--- a/internal/state/burdockkv/mirror.go
+++ b/internal/state/burdockkv/mirror.go
@@ -8,21 +8,21 @@
 	"burdockbend.example/burdockbend/internal/base/burdockclock"
 )
 
-// Mirror is a Sink that keeps the keys as they are known.
+// Mirror is a Sink that keeps a local copy of the keys.
 type Mirror struct {
-	mu      sync.Mutex
-	items   map[string]Item
-	known   bool
-	changed []func()
+	mu          sync.Mutex
+	items       map[string]Item
+	synced      bool
+	subscribers []func()
 }
 
 // NewMirror returns an empty mirror.
 func NewMirror() *Mirror { return &Mirror{items: map[string]Item{}} }
 
-// Subscribe calls fn after each change. It must be called before the first.
-func (m *Mirror) Subscribe(fn func()) { m.changed = append(m.changed, fn) }
+// Subscribe calls fn after each change. It must be called before the mirror receives any.
+func (m *Mirror) Subscribe(fn func()) { m.subscribers = append(m.subscribers, fn) }
 
-// Get returns a key, and whether it is there.
+// Get returns a key, and whether it exists.
 func (m *Mirror) Get(key string) (Item, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -30,24 +30,24 @@
 	return item, ok
 }
 
-// Items returns all keys, in no order.
+// Items returns all keys in no particular order.
 func (m *Mirror) Items() []Item {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.Collect(maps.Values(m.items))
 }
 
-// Synced reports whether the keys have been listed once.
+// Synced reports whether the keys have been listed at least once.
 func (m *Mirror) Synced() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.known
+	return m.synced
 }
 
 // Listed implements Sink.
 func (m *Mirror) Listed(items []Item) {
 	m.mu.Lock()
-	m.known = true
+	m.synced = true
 	old := m.items
 	m.items = map[string]Item{}
 	for _, item := range items {
@@ -56,7 +56,7 @@
 	same := maps.EqualFunc(old, m.items, func(a, b Item) bool { return a.Revision == b.Revision })
 	m.mu.Unlock()
 	if !same {
-		m.tell()
+		m.notify()
 	}
 }
 
@@ -77,14 +77,14 @@
 		}
 	}
 	m.mu.Unlock()
-	m.tell()
+	m.notify()
 }
 
 // StoreRecovered implements Sink.
 func (m *Mirror) StoreRecovered(burdockclock.Millis) {}
 
-func (m *Mirror) tell() {
-	for _, fn := range m.changed {
+func (m *Mirror) notify() {
+	for _, fn := range m.subscribers {
 		fn()
 	}
 }
--- a/internal/state/burdockkv/poller.go
+++ b/internal/state/burdockkv/poller.go
@@ -12,38 +12,39 @@
 
 // Poller lists the keys under a prefix from time to time.
 //
-// Load: a process beside each of many engines that needs little of what the
-// operators write, and not soon. Harm prevented: with a watch, each change of
-// the configuration costs a call by each of them.
+// It is for processes that run beside each of many engines and need little of the
+// configuration, and not soon. With watches, each change of the configuration would cost a
+// call by each of them.
 type Poller struct {
-	store  Store
-	prefix string
-	sink   Sink
-	every  burdockclock.Millis
-	enough func() bool
-	log    *zap.Logger
-	ctx    context.Context
-	cancel context.CancelFunc
-	done   sync.WaitGroup
+	store     Store
+	prefix    string
+	sink      Sink
+	interval  burdockclock.Millis
+	satisfied func() bool
+	log       *zap.Logger
+	ctx       context.Context
+	cancel    context.CancelFunc
+	done      sync.WaitGroup
 }
 
-// NewPoller returns a poller that lists at once and watches until enough reports
-// that the sink has what it needs; from then on it lists as often as every says.
+// NewPoller returns a poller that is not yet running. It lists at once, watches until
+// satisfied reports that the sink has what it needs, and from then on lists once per
+// interval on average.
 //
-// Load: hundreds of processes that start before what they need has been written.
-// Harm prevented: a call by each of them, again and again, until it is.
-func NewPoller(store Store, prefix string, sink Sink, every burdockclock.Millis, enough func() bool, log *zap.Logger) *Poller {
+// Hundreds of processes may start before the keys that they need have been written. The
+// watch saves the repeated listings of each of them until then.
+func NewPoller(store Store, prefix string, sink Sink, interval burdockclock.Millis, satisfied func() bool, log *zap.Logger) *Poller {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &Poller{store: store, prefix: prefix, sink: sink, every: every, enough: enough, log: log, ctx: ctx, cancel: cancel}
+	return &Poller{store: store, prefix: prefix, sink: sink, interval: interval, satisfied: satisfied, log: log, ctx: ctx, cancel: cancel}
 }
 
-// Start begins to list.
+// Start begins to list in the background.
 func (p *Poller) Start() {
 	p.done.Add(1)
 	go p.loop()
 }
 
-// Close ends it.
+// Close stops listing and waits for the background work to end.
 func (p *Poller) Close() {
 	p.cancel()
 	p.done.Wait()
@@ -55,19 +56,19 @@
 		items, rev, err := p.store.List(p.ctx, p.prefix)
 		if err == nil {
 			p.sink.Listed(items)
-			p.await(rev)
+			p.watchUntilSatisfied(rev)
 		} else if p.ctx.Err() == nil {
-			p.log.Warn("store did not answer", zap.String("prefix", p.prefix), zap.Error(err))
+			p.log.Warn("store does not answer; listing again later", zap.String("prefix", p.prefix), zap.Error(err))
 		}
-		p.rest()
+		p.pause()
 	}
 }
 
-// await watches while the sink lacks what it needs. A watch that fails or hears
-// nothing is followed by a listing.
-func (p *Poller) await(rev Revision) {
-	for !p.enough() && p.ctx.Err() == nil {
-		items, next, err := p.store.Watch(p.ctx, p.prefix, rev, pollerWatch)
+// watchUntilSatisfied watches while the sink lacks what it needs. It returns early, for the
+// next listing, if a watch fails or returns no change.
+func (p *Poller) watchUntilSatisfied(rev Revision) {
+	for !p.satisfied() && p.ctx.Err() == nil {
+		items, next, err := p.store.Watch(p.ctx, p.prefix, rev, pollerWatchWait)
 		if err != nil || len(items) == 0 {
 			return
 		}
@@ -76,14 +77,14 @@
 	}
 }
 
-// pollerWatch is how long a poller's watch waits: less than any store keeps its
-// history.
-const pollerWatch = 8 * burdockclock.Second
+// pollerWatchWait is how long a poller's watch waits, which is shorter than any store keeps
+// its history.
+const pollerWatchWait = 8 * burdockclock.Second
 
-func (p *Poller) rest() {
-	wait := mostPause/2 + burdockclock.Millis(rand.Int64N(int64(mostPause)))
-	if p.enough() {
-		wait = p.every/2 + burdockclock.Millis(rand.Int64N(int64(p.every)))
+func (p *Poller) pause() {
+	wait := maxRetryPause/2 + burdockclock.Millis(rand.Int64N(int64(maxRetryPause)))
+	if p.satisfied() {
+		wait = p.interval/2 + burdockclock.Millis(rand.Int64N(int64(p.interval)))
 	}
 	timer := time.NewTimer(wait.Duration())
 	defer timer.Stop()
