--- a/internal/state/burdockfollow/follow.go
+++ b/internal/state/burdockfollow/follow.go
@@ -1,5 +1,5 @@
-// Package burdockfollow keeps a burdocksite.Site up to date with the platform's
-// records.
+// Package burdockfollow keeps a burdocksite.Site up to date with the records in the
+// platform's store.
 package burdockfollow
 
 import (
@@ -13,21 +13,21 @@
 	"go.uber.org/zap"
 )
 
-// Change is one record as it was written: ConfigWritten, UpstreamWritten,
+// Change is the decoded change of one record: a ConfigWritten, UpstreamWritten,
 // UpstreamGone or Unreadable.
 type Change interface{ isChange() }
 
-// ConfigWritten is a version of the configuration.
+// ConfigWritten is a new version of the configuration.
 type ConfigWritten struct{ Config burdocksite.Config }
 
-// UpstreamWritten is an upstream as it is now.
+// UpstreamWritten is the current state of an upstream.
 type UpstreamWritten struct{ Upstream burdocksite.Upstream }
 
-// UpstreamGone is an upstream whose record was removed.
+// UpstreamGone means that an upstream's record was removed.
 type UpstreamGone struct{ ID burdockid.Upstream }
 
-// Unreadable is a record that can't be decoded. If it stands in the place of an
-// upstream, that is ID.
+// Unreadable is a record that can't be decoded. If its key is that of an upstream, ID is that
+// upstream, otherwise it is empty.
 type Unreadable struct {
 	Key string
 	ID  burdockid.Upstream
@@ -39,7 +39,7 @@
 func (UpstreamGone) isChange()    {}
 func (Unreadable) isChange()      {}
 
-// Topic is a kind of records that is followed by itself.
+// Topic is a kind of record that is followed separately.
 type Topic string
 
 // Topics.
@@ -51,34 +51,33 @@
 // Topics returns all topics.
 func Topics() []Topic { return []Topic{TopicConfig, TopicUpstreams} }
 
-// Decoder reads the platform's records. Decode returns nil for a record that is
-// none of the site's.
+// Decoder decodes the platform's records. Decode returns nil for a record that does not
+// belong to the site.
 type Decoder interface {
 	Decode(item burdockkv.Item) Change
-	// Prefix is that of the keys under which a topic's records are.
+	// Prefix returns the key prefix of a topic's records.
 	Prefix(topic Topic) string
 }
 
 const (
-	// outage is the silence of the store after which records may have lapsed
-	// for no other reason: most of three heartbeats of about a second.
-	outage = 2 * burdockclock.Second
-	// returnGrace is how long a record that is missing after an outage is still
-	// believed in: a live upstream writes again within two seconds of the
-	// store's return.
-	returnGrace burdockclock.Millis = 2200
-	// leastLapsed upstreams, and one of lapsedPart of all, that vanish in one answer
-	// without having left are taken for the trace of an outage. Two may be those of
-	// one VM, or have died within a watch's gap of 300 ms; after an outage the first
-	// answer had all 18 of 18, and 13 of 32 where restarted ones stood beside them.
-	leastLapsed = 3
-	lapsedPart  = 4
-	// sweepEvery is how often upstreams that are missing after an outage are
-	// looked at again.
-	sweepEvery = 100 * time.Millisecond
+	// minOutage is the length of an outage of the store that by itself may let records
+	// lapse: most of three heartbeats of about a second.
+	minOutage = 2 * burdockclock.Second
+	// recoveryGrace is how long an upstream is kept whose record is missing after an outage.
+	// A live upstream writes its record again within two seconds of the store's return.
+	recoveryGrace burdockclock.Millis = 2200
+	// An outage is assumed if minLapsed or more upstreams, and at least 1/lapsedDivisor of
+	// all, disappear in one answer without having left first. Two may belong to one VM, or
+	// have failed within the 300 ms between two watches. In the first answer after an outage
+	// all 18 of 18 disappeared, or 13 of 32 where the known ones included restarted upstreams.
+	minLapsed     = 3
+	lapsedDivisor = 4
+	// sweepInterval is the time between two checks of the upstreams that are missing after
+	// an outage.
+	sweepInterval = 100 * time.Millisecond
 )
 
-// Records is a burdockkv.Sink that takes records into a site.
+// Records is a burdockkv.Sink that applies records to a site.
 type Records struct {
 	topic   Topic
 	decoder Decoder
@@ -86,24 +85,24 @@
 	clock   burdockclock.Clock
 	log     *zap.Logger
 
-	mu         sync.Mutex
-	returnedAt burdockclock.Millis // when the store last came back from an outage
-	// missing holds the instant at which each upstream is taken as gone.
-	missing map[burdockid.Upstream]burdockclock.Millis
-	sweep   *time.Timer
-	// unreadable holds keys that were reported, by revision.
-	unreadable map[string]burdockkv.Revision
+	mu          sync.Mutex
+	recoveredAt burdockclock.Millis // boot time of the latest return of the store; 0 for none
+	// missing holds the boot time at which each missing upstream is removed.
+	missing    map[burdockid.Upstream]burdockclock.Millis
+	sweepTimer *time.Timer
+	// reported holds the revision at which each unreadable key was logged.
+	reported map[string]burdockkv.Revision
 }
 
 // New returns a sink for the records of a topic.
 func New(topic Topic, decoder Decoder, site *burdocksite.Site, clock burdockclock.Clock, log *zap.Logger) *Records {
 	return &Records{
 		topic: topic, decoder: decoder, site: site, clock: clock, log: log,
-		missing: map[burdockid.Upstream]burdockclock.Millis{}, unreadable: map[string]burdockkv.Revision{},
+		missing: map[burdockid.Upstream]burdockclock.Millis{}, reported: map[string]burdockkv.Revision{},
 	}
 }
 
-// Listed implements burdockkv.Sink: what a listing of upstreams lacks is gone.
+// Listed implements burdockkv.Sink. Upstreams that the listing lacks are treated as gone.
 func (r *Records) Listed(items []burdockkv.Item) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -113,14 +112,14 @@
 		if u, ok := change.(UpstreamWritten); ok {
 			listed[u.Upstream.ID] = true
 		}
-		r.take(item, change)
+		r.apply(item, change)
 	}
 	if r.topic != TopicUpstreams {
 		return
 	}
 	for id := range r.site.Now().Upstreams {
 		if !listed[id] {
-			r.gone(id)
+			r.markGone(id)
 		}
 	}
 }
@@ -133,21 +132,21 @@
 	for i, item := range items {
 		changes[i] = r.decoder.Decode(item)
 	}
-	r.noteLapses(changes)
+	r.detectOutage(changes)
 	for i, item := range items {
-		r.take(item, changes[i])
+		r.apply(item, changes[i])
 	}
 }
 
-// noteLapses looks for the trace of an outage that this process did not see.
+// detectOutage detects from the changes themselves an outage that the follower has missed.
 //
-// Failure: the store is out and a watch that was open before stays open, so
-// nothing shows that nobody is there. Symptom: on the store's return the watch
-// tells that the records of all upstreams have lapsed, right before their writers
-// put them back, and all requests are refused for a second. Upstreams leave
-// before they go, and those that die do so one by one or with their VM: many that
-// vanish at once could not renew their records.
-func (r *Records) noteLapses(changes []Change) {
+// A watch that was open before an outage may stay open, so nothing shows that the store
+// does not answer. When the store returns, the watch reports that the records of all
+// upstreams have lapsed, right before the upstreams write them again, and all requests
+// would be refused for a second. Upstreams mark themselves as leaving before they stop, and
+// failing ones disappear one by one or with their VM. Many that disappear at once could not
+// renew their records.
+func (r *Records) detectOutage(changes []Change) {
 	known := r.site.Now().Upstreams
 	lapsed := map[burdockid.Upstream]bool{}
 	for _, change := range changes {
@@ -165,22 +164,22 @@
 			n++
 		}
 	}
-	if n >= leastLapsed && n*lapsedPart >= len(known) {
+	if n >= minLapsed && n*lapsedDivisor >= len(known) {
 		r.log.Warn("many records lapsed at once; the store seems to have been out", zap.Int("lapsed", n), zap.Int("known", len(known)))
-		r.returnedAt = r.clock.Boot()
+		r.recoveredAt = r.clock.Boot()
 	}
 }
 
 // StoreRecovered implements burdockkv.Sink.
-func (r *Records) StoreRecovered(silent burdockclock.Millis) {
+func (r *Records) StoreRecovered(outage burdockclock.Millis) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if silent >= outage {
-		r.returnedAt = r.clock.Boot()
+	if outage >= minOutage {
+		r.recoveredAt = r.clock.Boot()
 	}
 }
 
-func (r *Records) take(item burdockkv.Item, change Change) {
+func (r *Records) apply(item burdockkv.Item, change Change) {
 	switch c := change.(type) {
 	case ConfigWritten:
 		if r.site.SetConfig(c.Config) {
@@ -195,16 +194,16 @@
 				zap.String("address", c.Upstream.Address), zap.Bool("leaving", c.Upstream.Leaving), zap.Int64("revision", int64(item.Revision)))
 		}
 	case UpstreamGone:
-		r.gone(c.ID)
+		r.markGone(c.ID)
 	case Unreadable:
 		r.reject(item, c)
 	}
 }
 
-// reject reports a record that can't be read, once for each writing of it.
+// reject logs an unreadable record, once per revision, and drops its upstream if it has one.
 func (r *Records) reject(item burdockkv.Item, c Unreadable) {
-	if r.unreadable[c.Key] != item.Revision {
-		r.unreadable[c.Key] = item.Revision
+	if r.reported[c.Key] != item.Revision {
+		r.reported[c.Key] = item.Revision
 		r.log.Warn("record can't be read", zap.String("key", c.Key), zap.Error(c.Err))
 	}
 	if c.ID != "" {
@@ -212,21 +211,20 @@
 	}
 }
 
-// gone takes an upstream as gone, right after an outage only when it has had
-// time to write again.
+// markGone drops an upstream whose record is gone. Right after an outage it waits until the
+// upstream has had time to write its record again.
 //
-// Failure: records lapse while the store is out, because their writers can't
-// renew them. Symptom: when it returns every upstream is missing for a moment,
-// and all requests would be refused. Records of live upstreams are back within
-// the grace time; one that isn't belongs to no live upstream.
-func (r *Records) gone(id burdockid.Upstream) {
-	if r.returnedAt == 0 || r.clock.Boot()-r.returnedAt > returnGrace {
+// Records lapse during an outage of the store because upstreams can't renew them. When the
+// store returns, every upstream is missing for a moment, and all requests would be refused.
+// Live upstreams write their records again within recoveryGrace.
+func (r *Records) markGone(id burdockid.Upstream) {
+	if r.recoveredAt == 0 || r.clock.Boot()-r.recoveredAt > recoveryGrace {
 		r.drop(id)
 		return
 	}
-	r.missing[id] = r.returnedAt + returnGrace
-	if r.sweep == nil {
-		r.sweep = time.AfterFunc(sweepEvery, r.run)
+	r.missing[id] = r.recoveredAt + recoveryGrace
+	if r.sweepTimer == nil {
+		r.sweepTimer = time.AfterFunc(sweepInterval, r.sweepMissing)
 	}
 }
 
@@ -237,8 +235,9 @@
 	}
 }
 
-// run is the timer's: it takes as gone what has been missing for too long.
-func (r *Records) run() {
+// sweepMissing drops the upstreams that have been missing for too long. The sweep timer
+// calls it.
+func (r *Records) sweepMissing() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock.Boot()
@@ -247,8 +246,8 @@
 			r.drop(id)
 		}
 	}
-	r.sweep = nil
+	r.sweepTimer = nil
 	if len(r.missing) > 0 {
-		r.sweep = time.AfterFunc(sweepEvery, r.run)
+		r.sweepTimer = time.AfterFunc(sweepInterval, r.sweepMissing)
 	}
 }
