--- a/internal/serve/burdockagent/dump.go
+++ b/internal/serve/burdockagent/dump.go
@@ -10,19 +10,19 @@
 	"burdockbend.example/burdockbend/internal/state/burdockcharts"
 )
 
-// State is what a dump shows of an agent.
+// State is the agent's part of the state dump.
 type State struct {
-	Upstream    burdockid.Upstream    `json:"upstream"`
-	Service     burdockid.Service     `json:"service"`
-	Incarnation burdockid.Incarnation `json:"incarnation"`
-	UpMillis    burdockclock.Millis   `json:"upMillis"`
-	Draining    bool                  `json:"draining"`
-	Counts      Counts                `json:"counts"`
-	Queue       burdockqueue.State    `json:"queue"`
-	Requests    []RequestState        `json:"requests"`
+	Upstream     burdockid.Upstream    `json:"upstream"`
+	Service      burdockid.Service     `json:"service"`
+	Incarnation  burdockid.Incarnation `json:"incarnation"`
+	UptimeMillis burdockclock.Millis   `json:"upMillis"`
+	Draining     bool                  `json:"draining"`
+	Counts       OutcomeCounts         `json:"counts"`
+	Queue        burdockqueue.State    `json:"queue"`
+	Requests     []RequestState        `json:"requests"`
 }
 
-// RequestState is what a dump shows of one request.
+// RequestState is the state dump of one request.
 type RequestState struct {
 	ID        burdockid.Request          `json:"id"`
 	Customer  burdockid.Customer         `json:"customer"`
@@ -33,20 +33,20 @@
 	Bytes     int64                      `json:"bytes"`
 }
 
-// State returns a copy of what the agent knows.
+// State returns a snapshot of the agent for the state dump.
 func (a *Agent) State() State {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.deps.Clock.Boot()
 	s := State{
-		Upstream:    a.cfg.Upstream,
-		Service:     a.policy.service,
-		Incarnation: a.incarnation,
-		UpMillis:    now - a.started,
-		Draining:    a.draining,
-		Counts:      a.counts,
-		Queue:       a.queue.State(),
-		Requests:    []RequestState{},
+		Upstream:     a.cfg.Upstream,
+		Service:      a.policy.service,
+		Incarnation:  a.incarnation,
+		UptimeMillis: now - a.started,
+		Draining:     a.draining,
+		Counts:       a.counts,
+		Queue:        a.queue.State(),
+		Requests:     []RequestState{},
 	}
 	for _, j := range a.jobs {
 		s.Requests = append(s.Requests, j.state(now))
@@ -65,6 +65,6 @@
 		State:     j.machine.State(),
 		AgeMillis: now - j.arrived,
 		Readers:   len(j.readers),
-		Bytes:     j.total(),
+		Bytes:     j.totalBytes(),
 	}
 }
