--- a/internal/state/burdockconfig/fuzz_test.go
+++ b/internal/state/burdockconfig/fuzz_test.go
@@ -7,8 +7,8 @@
 	"burdockbend.example/burdockbend/internal/external/burdockstore"
 )
 
-// FuzzDecode reads hostile values of the store. What is taken is the entry of
-// its own key, has a version, and is the same after being written again.
+// FuzzDecode decodes arbitrary store values. An entry that is accepted belongs to the
+// key that it is stored under, has a version, and survives a round trip.
 func FuzzDecode(f *testing.F) {
 	f.Fuzz(func(t *testing.T, key string, value []byte) {
 		e, err := Decode(burdockstore.Entry{Key: key, Value: value})
@@ -16,18 +16,18 @@
 			return
 		}
 		if got := StorePrefix + e.Key; got != key {
-			t.Errorf("%q holds the entry of %q", key, got)
+			t.Errorf("Decode accepted at key %q the entry of %q", key, got)
 		}
 		if e.Key == "" || e.Version == 0 {
-			t.Errorf("got key %q version %d, want both", e.Key, e.Version)
+			t.Errorf("Decode accepted key %q with version %d, want neither to be empty", e.Key, e.Version)
 		}
 		encoded, err := Encode(e)
 		if err != nil {
 			t.Fatalf("Encode: %v", err)
 		}
-		again, err := Decode(burdockstore.Entry{Key: key, Value: encoded})
-		if err != nil || again.Version != e.Version || again.Mark != e.Mark || again.Deleted != e.Deleted || !bytes.Equal(again.Value, e.Value) {
-			t.Errorf("written again: got %+v, %v; want %+v", again, err, e)
+		decoded, err := Decode(burdockstore.Entry{Key: key, Value: encoded})
+		if err != nil || decoded.Version != e.Version || decoded.Mark != e.Mark || decoded.Deleted != e.Deleted || !bytes.Equal(decoded.Value, e.Value) {
+			t.Errorf("after a round trip: got %+v, %v; want %+v", decoded, err, e)
 		}
 	})
 }
--- a/internal/state/burdockconfig/view.go
+++ b/internal/state/burdockconfig/view.go
@@ -1,6 +1,6 @@
-// Package burdockconfig is a process's view of the configuration. It only
-// moves forward: an entry gives way to one with a higher version, whoever
-// brings it and in whatever order, and never to a lower one.
+// Package burdockconfig holds a process's view of the configuration. Entries come from
+// the store and from peers in any order. An entry is replaced only by one with a higher
+// version, so a view never goes back to an older state.
 package burdockconfig
 
 import (
@@ -13,27 +13,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Entry is one key of the configuration. Its version is the project's own: a
-// store that restarts from an old state may count its revisions anew.
+// Entry is one key of the configuration with its value. The version is assigned by
+// burdockbend and not taken from the store's revisions, because a store that is
+// restored from a backup may use the same revisions again.
 type Entry struct {
 	Key     string            `json:"key"`
 	Version burdockid.Version `json:"version"`
-	// Mark is unique to one write, so that a writer whose answer was lost can
-	// tell from a read whether its write took effect.
+	// Mark is unique to one write. A writer that received no response reads the
+	// entry and compares the mark to find out whether its write took effect.
 	Mark    string `json:"mark"`
 	Deleted bool   `json:"deleted,omitempty"`
 	Value   []byte `json:"value,omitempty"`
 }
 
-// Digest stands for a whole configuration. Two views with the same digest
-// hold the same entries.
+// Digest is a hash of a whole configuration. Two views with the same digest have
+// the same entries.
 type Digest uint64
 
 // newer reports whether e replaces old.
 //
-// Two writes with the same version can exist only when the store lost an
-// accepted one. Every process must then still choose the same, so the mark
-// decides.
+// Two writes with the same version exist only if the store lost one that it had
+// accepted. The mark is the tie-breaker, so all processes choose the same entry.
 func (e Entry) newer(old Entry) bool {
 	if e.Version != old.Version {
 		return e.Version > old.Version
@@ -52,22 +52,22 @@
 	return Digest(h.Sum64())
 }
 
-// Bucket counts. A process that knows nothing of another's digest compares
-// buckets; 64 of them make 512 bytes, and at the design's size of 8,000 keys
-// each holds 125.
+// bucketCount is the number of buckets that keys are hashed to. Two processes that
+// don't recognise each other's digest compare the digests of the buckets. The 64
+// digests take 512 bytes, and with the 8,000 keys of the design a bucket has 125 keys.
 const bucketCount = 64
 
-// historyLength is how many changes back a peer's digest is recognised. At
-// 19,000 changes a day it covers 20 minutes.
+// historyLength is the number of changes back to which a peer's digest is recognised.
+// At 19,000 changes a day it covers 20 minutes.
 const historyLength = 256
 
-// View is the configuration as one process knows it.
+// View is the configuration as known to one process. It is safe for concurrent use.
 type View struct {
 	mu       sync.Mutex
 	entries  map[string]Entry
 	digest   Digest
 	buckets  [bucketCount]Digest
-	history  []change // the newest last
+	history  []change // oldest first
 	watchers []func([]Entry, Digest)
 }
 
@@ -79,33 +79,34 @@
 // NewView returns an empty view.
 func NewView() *View { return &View{entries: map[string]Entry{}} }
 
-// Subscribe calls fn after each merge that changed something, with what
-// changed and the digest after it. Calls don't overlap, and fn must not call
-// the view. It must be called before the first Merge.
+// Subscribe registers fn to be called after each merge that changed the view, with the
+// changed entries and the new digest. Calls don't overlap, and fn must not call the
+// view. Subscribe must be called before the first Merge.
 func (v *View) Subscribe(fn func([]Entry, Digest)) { v.watchers = append(v.watchers, fn) }
 
-// Merge takes in entries from the store or from a peer, and returns those that
-// were news.
+// Merge applies entries from the store or from a peer. It returns those that changed
+// the view.
 func (v *View) Merge(entries []Entry) []Entry {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	var news []Entry
+	var changed []Entry
 	for _, e := range entries {
 		if v.put(e) {
-			news = append(news, e)
+			changed = append(changed, e)
 		}
 	}
-	if len(news) == 0 {
+	if len(changed) == 0 {
 		return nil
 	}
 	for _, fn := range v.watchers {
-		fn(news, v.digest)
+		fn(changed, v.digest)
 	}
-	return news
+	return changed
 }
 
-// put replaces an older entry. The digest is a sum without order, so that the
-// same entries give the same digest whatever order they came in.
+// put stores e unless the view has the same or a newer entry, and reports whether it
+// did. The view's digest is the XOR of the entries' digests, so it doesn't depend on
+// the order in which entries arrive.
 func (v *View) put(e Entry) bool {
 	old, known := v.entries[e.Key]
 	if known && !e.newer(old) {
@@ -134,15 +135,15 @@
 	return v.digest
 }
 
-// Buckets returns the digest of each bucket.
+// Buckets returns the digest of each bucket of keys.
 func (v *View) Buckets() []Digest {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return append([]Digest(nil), v.buckets[:]...)
 }
 
-// Since returns what changed since the view had the digest of a peer. It
-// reports false when it doesn't remember that digest.
+// Since returns the entries that changed after the view had the peer's digest. It
+// reports false if that digest is not in the history.
 func (v *View) Since(peer Digest) ([]Entry, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -151,13 +152,13 @@
 	}
 	for i := len(v.history) - 1; i >= 0; i-- {
 		if v.history[i].before == peer {
-			return v.changed(v.history[i:]), true
+			return v.changedEntries(v.history[i:]), true
 		}
 	}
 	return nil, false
 }
 
-func (v *View) changed(changes []change) []Entry {
+func (v *View) changedEntries(changes []change) []Entry {
 	seen := map[string]bool{}
 	var entries []Entry
 	for _, c := range changes {
@@ -169,8 +170,8 @@
 	return entries
 }
 
-// Differing returns the entries of all buckets in which a peer's digests
-// differ from the view's.
+// Differing returns the entries, sorted by key, of all buckets whose digest differs
+// from the peer's.
 func (v *View) Differing(peer []Digest) []Entry {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -185,7 +186,7 @@
 	return entries
 }
 
-// Get returns the entry of key, also when it was deleted.
+// Get returns the entry of key, even if it is deleted.
 func (v *View) Get(key string) (Entry, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -193,7 +194,8 @@
 	return e, ok
 }
 
-// Under returns the entries below prefix that were not deleted, by key.
+// Under returns the entries whose key begins with prefix, sorted by key, without
+// deleted ones.
 func (v *View) Under(prefix string) []Entry {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -207,7 +209,7 @@
 	return entries
 }
 
-// All returns every entry by key, deleted ones included.
+// All returns all entries sorted by key, including deleted ones.
 func (v *View) All() []Entry {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -219,7 +221,7 @@
 	return entries
 }
 
-// Len returns the number of keys, deleted ones included.
+// Len returns the number of keys, including deleted ones.
 func (v *View) Len() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/state/burdockconfig/view_test.go
+++ b/internal/state/burdockconfig/view_test.go
@@ -8,23 +8,23 @@
 	"pgregory.net/rapid"
 )
 
-// An operator sees the edit of version 7 stay in force. An answer from the
-// store's past brings version 5 after it: a process that took what came last
-// would go back.
+// Guards against a return to an old configuration: after version 7 a delayed response
+// of the store contains version 5, and a process that applies whatever came last goes
+// back to it.
 func TestViewNeverGoesBack(t *testing.T) {
 	v := NewView()
 	v.Merge([]Entry{{Key: "profile/bench", Version: 7, Mark: "b"}})
-	news := v.Merge([]Entry{{Key: "profile/bench", Version: 5, Mark: "a"}, {Key: "profile/bench", Version: 6, Deleted: true}})
-	if got := len(news); got != 0 {
-		t.Errorf("Merge of older entries reported %d news, want 0", got)
+	changed := v.Merge([]Entry{{Key: "profile/bench", Version: 5, Mark: "a"}, {Key: "profile/bench", Version: 6, Deleted: true}})
+	if got := len(changed); got != 0 {
+		t.Errorf("Merge of older entries: got %d changed entries, want 0", got)
 	}
 	if got, _ := v.Get("profile/bench"); got.Version != 7 {
-		t.Errorf("version in force: got %d, want 7", got.Version)
+		t.Errorf("version: got %d, want 7", got.Version)
 	}
 }
 
-// Two processes see the same edits in different order, some twice. Both must
-// end with the same entries and know it from the digest alone.
+// Two processes receive the same edits in different order, some of them twice. Both
+// end with the same entries and the same digest.
 func TestViewsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entries := rapid.SliceOfN(rapid.Custom(drawEntry), 1, 30).Draw(t, "entries")
@@ -45,30 +45,30 @@
 	})
 }
 
-// A process that missed edits asks a peer, by digest and then by buckets, and
-// must end with all of them.
-func TestExchangeBringsAllThatIsMissing(t *testing.T) {
+// A process that missed edits requests them from a peer, first by digest and then by
+// buckets. Afterwards it has all of them.
+func TestExchangeTransfersAllMissingEntries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		full, behind := NewView(), NewView()
+		complete, behind := NewView(), NewView()
 		entries := rapid.SliceOfN(rapid.Custom(drawEntry), 1, 400).Draw(t, "entries")
 		for _, e := range entries {
-			full.Merge([]Entry{e})
+			complete.Merge([]Entry{e})
 			if rapid.Bool().Draw(t, "seen") {
 				behind.Merge([]Entry{e})
 			}
 		}
-		if missing, known := full.Since(behind.Digest()); known {
+		if missing, known := complete.Since(behind.Digest()); known {
 			behind.Merge(missing)
 		} else {
-			behind.Merge(full.Differing(behind.Buckets()))
+			behind.Merge(complete.Differing(behind.Buckets()))
 		}
-		if got, want := behind.Digest(), full.Digest(); got != want {
+		if got, want := behind.Digest(), complete.Digest(); got != want {
 			t.Fatalf("digest after the exchange: got %x, want %x", got, want)
 		}
 	})
 }
 
-func TestSinceSendsOnlyWhatChanged(t *testing.T) {
+func TestSinceReturnsOnlyChangedEntries(t *testing.T) {
 	v := NewView()
 	for i := range 50 {
 		v.Merge([]Entry{{Key: fmt.Sprint("customer/", i), Version: 1}})
@@ -78,7 +78,7 @@
 	v.Merge([]Entry{{Key: "customer/3", Version: 3}})
 	entries, known := v.Since(before)
 	if !known || len(entries) != 1 || entries[0].Version != 3 {
-		t.Errorf("Since = %v, %v; want customer/3 at version 3 alone", entries, known)
+		t.Errorf("Since = %v, %v; want only customer/3 at version 3", entries, known)
 	}
 }
 
