--- a/internal/state/burdockchart/chart.go
+++ b/internal/state/burdockchart/chart.go
@@ -1,22 +1,22 @@
-// Package burdockchart reads state charts from small text files, checks them
-// as a whole, and runs machines that follow them.
+// Package burdockchart parses state charts from text files, validates them, and runs
+// state machines that follow them.
 //
-// A chart file has one statement a line; # starts a comment:
+// A chart file has one statement per line. A # starts a comment:
 //
-//	chart door                 the chart's name
-//	initial closed             the state a machine starts in
-//	state opening              a state to pass through
-//	rest closed                a state that every other can come back to
-//	final removed              a state that a machine never leaves
-//	event open                 an event
-//	closed open -> opening     in closed, open leads to opening
-//	ignore closed close        in closed, close changes nothing
-//	reject closed lock         in closed, lock is the driver's mistake
-//	ignore removed *           in a final state: every event
+//	chart door                 name of the chart
+//	initial closed             state that a machine starts in
+//	state opening              state that a machine must be able to leave
+//	rest closed                state that a machine may stay in
+//	final removed              state that a machine never leaves
+//	event open                 event
+//	closed open -> opening     in closed, event open leads to opening
+//	ignore closed close        in closed, event close changes nothing
+//	reject closed lock         in closed, event lock is an error of the caller
+//	ignore removed *           in a final state: all events
 //
-// The check asks that each state can be reached, that each event is handled,
-// ignored or rejected in each state, that no name is unknown, and that from
-// each state some final or rest state can be reached.
+// In a valid chart every name is declared, every state is reachable from the initial
+// state, and every state has a transition, ignore or reject for every event. Every event
+// has at least one transition, and a final or rest state is reachable from every state.
 package burdockchart
 
 import (
@@ -25,39 +25,38 @@
 	"github.com/joomcode/errorx"
 )
 
-// Errors of this package. A check's findings are a *burdockfinding.Error.
+// Errors of this package. An invalid chart is reported as a *burdockfinding.Error.
 var (
 	namespace = errorx.NewNamespace("chart")
-	// NotAllowed is the type of the error for an event that the chart
-	// rejects in the machine's present state.
+	// NotAllowed is the type of errors for an event that the chart rejects in the
+	// machine's current state.
 	NotAllowed = namespace.NewType("notAllowed")
-	// UnknownEvent is the type of the error for an event that the chart
-	// doesn't have.
+	// UnknownEvent is the type of errors for an event that the chart doesn't declare.
 	UnknownEvent = namespace.NewType("unknownEvent")
 )
 
-// action says what a chart does with one event in one state.
+// action is what a chart defines for one event in one state.
 type action uint8
 
 const (
-	undecided action = iota
-	move
+	undefined action = iota
+	transition
 	ignore
 	reject
 )
 
-// cell is the chart's decision for one event in one state.
+// cell is the entry of the transition table for one event in one state.
 type cell struct {
 	action action
-	target int // index of the state that a move leads to
+	target int // index of the state that a transition leads to
 	line   int
 }
 
-// kind tells the sorts of states apart.
+// kind is the kind of a state.
 type kind uint8
 
 const (
-	passing kind = iota
+	transient kind = iota
 	rest
 	final
 )
@@ -69,7 +68,7 @@
 	cells []cell // by event index
 }
 
-// Chart is a checked state chart. It is read-only and safe for concurrent use.
+// Chart is a valid state chart. It is immutable and safe for concurrent use.
 type Chart struct {
 	name       string
 	initial    int
@@ -79,10 +78,10 @@
 	eventIndex map[string]int
 }
 
-// Name returns the name that the file gives to the chart.
+// Name returns the name of the chart.
 func (c *Chart) Name() string { return c.name }
 
-// States returns the names of the states in the file's order.
+// States returns the names of the states in the order of their declaration.
 func (c *Chart) States() []string {
 	names := make([]string, len(c.states))
 	for i, s := range c.states {
@@ -91,10 +90,10 @@
 	return names
 }
 
-// Events returns the names of the events in the file's order.
+// Events returns the names of the events in the order of their declaration.
 func (c *Chart) Events() []string { return append([]string(nil), c.events...) }
 
-// Load reads and checks the chart in file name of fsys.
+// Load reads, parses and validates the chart in the named file of fsys.
 func Load(fsys fs.FS, name string) (*Chart, error) {
 	text, err := fs.ReadFile(fsys, name)
 	if err != nil {
--- a/internal/state/burdockchart/chart_test.go
+++ b/internal/state/burdockchart/chart_test.go
@@ -16,7 +16,7 @@
 	doorEvent string
 )
 
-func door(t testing.TB) Typed[doorState, doorEvent] {
+func loadDoor(t testing.TB) Typed[doorState, doorEvent] {
 	t.Helper()
 	chart, err := Load(os.DirFS("testdata"), "door.chart")
 	if err != nil {
@@ -50,7 +50,7 @@
 	// opened true
 }
 
-func TestFindingsAreReportedTogether(t *testing.T) {
+func TestAllFindingsAreReported(t *testing.T) {
 	_, err := Load(os.DirFS("testdata"), "bad.chart")
 	if err == nil {
 		t.Fatal("bad.chart was accepted")
@@ -79,12 +79,12 @@
 }
 
 func TestMachineFollowsChart(t *testing.T) {
-	machine := door(t).Start()
+	machine := loadDoor(t).Start()
 	steps := []struct {
-		event doorEvent
-		moved bool
-		state doorState
-		fails *errorx.Type
+		event   doorEvent
+		moved   bool
+		state   doorState
+		errType *errorx.Type
 	}{
 		{"close", false, "closed", nil},
 		{"open", true, "opened", nil},
@@ -99,8 +99,8 @@
 		if moved != s.moved || machine.State() != s.state {
 			t.Errorf("step %d: got %v in %s, want %v in %s", i, moved, machine.State(), s.moved, s.state)
 		}
-		if failed := err != nil; failed != (s.fails != nil) || failed && !errorx.IsOfType(err, s.fails) {
-			t.Errorf("step %d: got error %v, want type %v", i, err, s.fails)
+		if failed := err != nil; failed != (s.errType != nil) || failed && !errorx.IsOfType(err, s.errType) {
+			t.Errorf("step %d: got error %v, want type %v", i, err, s.errType)
 		}
 	}
 	if !machine.Final() {
@@ -118,17 +118,17 @@
 	}
 }
 
-func TestBindFindsDifferences(t *testing.T) {
-	chart := door(t).Chart()
+func TestBindReportsDifferences(t *testing.T) {
+	chart := loadDoor(t).Chart()
 	_, err := Bind(chart, []doorState{"closed", "opened", "ajar"}, []doorEvent{"open", "close", "remove"})
 	for _, want := range []string{`state "ajar"`, `state "removed"`} {
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("Bind error = %v, want it to name %s", err, want)
+			t.Errorf("Bind error = %v, want it to contain %s", err, want)
 		}
 	}
 }
 
-func TestJournalKeepsTheLast(t *testing.T) {
+func TestJournalKeepsLatestEntries(t *testing.T) {
 	j := NewJournal(2)
 	for _, event := range []string{"a", "b", "c"} {
 		j.Add(Entry{Event: event})
@@ -139,8 +139,8 @@
 	}
 }
 
-// FuzzParse looks for a panic, and for a chart that passes the check and then
-// leaves its own table when it is run.
+// FuzzParse checks that Parse does not panic, and that a machine of an accepted chart
+// stays within its transition table.
 func FuzzParse(f *testing.F) {
 	for _, name := range []string{"testdata/door.chart", "testdata/bad.chart"} {
 		text, err := os.ReadFile(name)
@@ -158,7 +158,7 @@
 		for range 3 {
 			for _, event := range chart.Events() {
 				if _, err := machine.Fire(doorEvent(event)); errorx.IsOfType(err, UnknownEvent) {
-					t.Errorf("own event %q: %v", event, err)
+					t.Errorf("event %q of the chart: %v", event, err)
 				}
 			}
 		}
--- a/internal/state/burdockchart/check.go
+++ b/internal/state/burdockchart/check.go
@@ -1,92 +1,92 @@
 package burdockchart
 
-// check looks at the chart as a whole, after every line was read.
+// check validates the chart after all statements have been parsed.
 func (p *parser) check() {
 	c := p.chart
 	if c.name == "" {
-		p.find(0, wordChart, "is missing", "the chart's name")
+		p.addFinding(0, keywordChart, "is missing", "the chart's name")
 	}
 	if len(c.states) == 0 {
-		p.find(0, wordState, "is missing", "one state or more")
+		p.addFinding(0, keywordState, "is missing", "one state or more")
 		return
 	}
 	if p.hasInitial {
 		p.checkReachable()
 	}
 	p.checkComplete()
-	p.checkUsed()
-	p.checkEnds()
+	p.checkEventsUsed()
+	p.checkTermination()
 }
 
 func (p *parser) checkReachable() {
-	reached := p.chart.reach(p.chart.initial)
+	reached := p.chart.reachable(p.chart.initial)
 	for i, s := range p.chart.states {
 		if !reached[i] {
-			p.find(s.line, s.name, "cannot be reached from the initial state", "")
+			p.addFinding(s.line, s.name, "cannot be reached from the initial state", "")
 		}
 	}
 }
 
-// checkComplete finds the events that a state forgot. Such an event would
-// come up first in production, as an error in a state that nobody thought of.
+// checkComplete reports events that a state doesn't define. Without this check a
+// missing combination shows up only in production, as an error of Fire.
 func (p *parser) checkComplete() {
 	for _, s := range p.chart.states {
 		for event, c := range s.cells {
-			if c.action == undecided {
-				p.find(s.line, s.name+"."+p.chart.events[event], "event is not handled", "a transition, ignore or reject")
+			if c.action == undefined {
+				p.addFinding(s.line, s.name+"."+p.chart.events[event], "event is not handled", "a transition, ignore or reject")
 			}
 		}
 	}
 }
 
-func (p *parser) checkUsed() {
+func (p *parser) checkEventsUsed() {
 	for event, name := range p.chart.events {
-		if !p.chart.moves(event) {
-			p.find(0, name, "event leads nowhere in any state", "one transition or more")
+		if !p.chart.hasTransition(event) {
+			p.addFinding(0, name, "event leads nowhere in any state", "one transition or more")
 		}
 	}
 }
 
-func (c *Chart) moves(event int) bool {
+func (c *Chart) hasTransition(event int) bool {
 	for _, s := range c.states {
-		if s.cells[event].action == move {
+		if s.cells[event].action == transition {
 			return true
 		}
 	}
 	return false
 }
 
-// checkEnds finds states from which a machine could run for ever without
-// coming to an end or to rest.
-func (p *parser) checkEnds() {
+// checkTermination reports states from which a machine can never get to a final or rest
+// state.
+func (p *parser) checkTermination() {
 	for i, s := range p.chart.states {
-		if !p.chart.comesToEnd(i) {
-			p.find(s.line, s.name, "no final or rest state can be reached from here", "")
+		if !p.chart.canTerminate(i) {
+			p.addFinding(s.line, s.name, "no final or rest state can be reached from here", "")
 		}
 	}
 }
 
-func (c *Chart) comesToEnd(from int) bool {
-	for i, reached := range c.reach(from) {
-		if reached && c.states[i].kind != passing {
+func (c *Chart) canTerminate(from int) bool {
+	for i, reached := range c.reachable(from) {
+		if reached && c.states[i].kind != transient {
 			return true
 		}
 	}
 	return false
 }
 
-// reach marks the states that can be reached from state from, itself included.
-func (c *Chart) reach(from int) []bool {
+// reachable marks the states that can be reached from state from, including from.
+func (c *Chart) reachable(from int) []bool {
 	reached := make([]bool, len(c.states))
 	reached[from] = true
-	todo := []int{from}
-	for len(todo) > 0 {
-		at := todo[len(todo)-1]
-		todo = todo[:len(todo)-1]
-		for _, decided := range c.states[at].cells {
-			if decided.action == move && !reached[decided.target] {
-				reached[decided.target] = true
-				todo = append(todo, decided.target)
+	pending := []int{from}
+	for len(pending) > 0 {
+		state := pending[len(pending)-1]
+		pending = pending[:len(pending)-1]
+		for _, next := range c.states[state].cells {
+			if next.action == transition && !reached[next.target] {
+				reached[next.target] = true
+				pending = append(pending, next.target)
 			}
 		}
 	}
--- a/internal/state/burdockchart/journal.go
+++ b/internal/state/burdockchart/journal.go
@@ -2,7 +2,7 @@
 
 import "burdockbend.example/burdockbend/internal/base/burdockclock"
 
-// Entry is one event that a machine took, for the state dump.
+// Entry records one event of a machine, for the state dump.
 type Entry struct {
 	At     burdockclock.Millis `json:"at"`
 	Event  string              `json:"event"`
@@ -11,18 +11,19 @@
 	Reason string              `json:"reason,omitempty"`
 }
 
-// Journal keeps the last entries up to a limit and drops older ones.
+// Journal is a ring buffer of the latest entries.
 type Journal struct {
 	entries []Entry
 	next    int
 }
 
-// NewJournal returns a journal that keeps limit entries, at least one.
+// NewJournal returns a journal that keeps the last limit entries. A limit below 1 counts
+// as 1.
 func NewJournal(limit int) *Journal {
 	return &Journal{entries: make([]Entry, 0, max(limit, 1))}
 }
 
-// Add appends an entry.
+// Add appends an entry. In a full journal it replaces the oldest one.
 func (j *Journal) Add(e Entry) {
 	if len(j.entries) < cap(j.entries) {
 		j.entries = append(j.entries, e)
@@ -32,7 +33,7 @@
 	j.next = (j.next + 1) % len(j.entries)
 }
 
-// Entries returns the entries from the oldest to the newest.
+// Entries returns the entries, oldest first.
 func (j *Journal) Entries() []Entry {
 	ordered := make([]Entry, 0, len(j.entries))
 	ordered = append(ordered, j.entries[j.next:]...)
--- a/internal/state/burdockchart/parse.go
+++ b/internal/state/burdockchart/parse.go
@@ -7,35 +7,35 @@
 	"burdockbend.example/burdockbend/internal/base/burdockfinding"
 )
 
-// Limits of a chart file. They are far above any chart that a person can read,
-// and keep the table of a hostile or damaged file small.
+// Limits of a chart file. They are far above the size of any readable chart, and limit
+// the memory that a malicious or corrupt file can use.
 const (
 	maxBytes  = 64 << 10
 	maxStates = 64
 	maxEvents = 64
 )
 
-// Words of the format.
+// Keywords of the format.
 const (
-	wordChart   = "chart"
-	wordInitial = "initial"
-	wordState   = "state"
-	wordRest    = "rest"
-	wordFinal   = "final"
-	wordEvent   = "event"
-	wordIgnore  = "ignore"
-	wordReject  = "reject"
-	wordArrow   = "->"
-	wordAll     = "*"
+	keywordChart   = "chart"
+	keywordInitial = "initial"
+	keywordState   = "state"
+	keywordRest    = "rest"
+	keywordFinal   = "final"
+	keywordEvent   = "event"
+	keywordIgnore  = "ignore"
+	keywordReject  = "reject"
+	keywordArrow   = "->"
+	keywordAll     = "*"
 )
 
-// statement is one line of a chart file, split into words.
+// statement is one line of a chart file, split into fields.
 type statement struct {
-	line  int
-	words []string
+	line   int
+	fields []string
 }
 
-// parser turns statements into a chart and notes what is wrong.
+// parser builds a chart from statements and collects findings.
 type parser struct {
 	file        string
 	chart       *Chart
@@ -44,24 +44,24 @@
 	findings    burdockfinding.List
 }
 
-// Parse reads and checks a chart. The error, if any, is a
-// *burdockfinding.Error that holds every finding with its line.
+// Parse parses and validates a chart. The error for an invalid chart is a
+// *burdockfinding.Error with all findings and their lines. file is the name that they show.
 func Parse(file string, text []byte) (*Chart, error) {
 	p := &parser{
 		file:  file,
 		chart: &Chart{stateIndex: map[string]int{}, eventIndex: map[string]int{}},
 	}
 	if len(text) > maxBytes {
-		p.find(0, "", "chart file is too long", fmt.Sprintf("at most %d bytes", maxBytes))
+		p.addFinding(0, "", "chart file is too long", fmt.Sprintf("at most %d bytes", maxBytes))
 		return nil, p.findings.Err()
 	}
 	statements := split(text)
 	for _, s := range statements {
 		p.declare(s)
 	}
-	p.makeTable()
+	p.allocateTable()
 	for _, s := range statements {
-		p.decide(s)
+		p.define(s)
 	}
 	p.resolveInitial()
 	p.check()
@@ -75,72 +75,72 @@
 	var statements []statement
 	for i, line := range strings.Split(string(text), "\n") {
 		code, _, _ := strings.Cut(line, "#")
-		if words := strings.Fields(code); len(words) > 0 {
-			statements = append(statements, statement{line: i + 1, words: words})
+		if fields := strings.Fields(code); len(fields) > 0 {
+			statements = append(statements, statement{line: i + 1, fields: fields})
 		}
 	}
 	return statements
 }
 
-func (p *parser) find(line int, key, what, want string) {
+func (p *parser) addFinding(line int, key, what, want string) {
 	p.findings.Add(burdockfinding.Finding{File: p.file, Line: line, Key: key, What: what, Want: want})
 }
 
-// declare takes the statements that introduce names. It runs over the whole
-// file first, so that a transition may name a state declared below it.
+// declare processes a declaration. All declarations are processed before any other
+// statement, so a transition may use a state that is declared below it.
 func (p *parser) declare(s statement) {
-	switch s.words[0] {
-	case wordChart:
+	switch s.fields[0] {
+	case keywordChart:
 		p.declareChart(s)
-	case wordInitial:
+	case keywordInitial:
 		p.declareInitial(s)
-	case wordState:
-		p.declareState(s, passing)
-	case wordRest:
+	case keywordState:
+		p.declareState(s, transient)
+	case keywordRest:
 		p.declareState(s, rest)
-	case wordFinal:
+	case keywordFinal:
 		p.declareState(s, final)
-	case wordEvent:
+	case keywordEvent:
 		p.declareEvent(s)
 	}
 }
 
-// oneName returns the single name that a declaration must have.
-func (p *parser) oneName(s statement) (string, bool) {
-	if len(s.words) != 2 {
-		p.find(s.line, s.words[0], fmt.Sprintf("has %d names", len(s.words)-1), "one name")
+// singleName returns the name in a declaration, which must have exactly one.
+func (p *parser) singleName(s statement) (string, bool) {
+	if len(s.fields) != 2 {
+		p.addFinding(s.line, s.fields[0], fmt.Sprintf("has %d names", len(s.fields)-1), "one name")
 		return "", false
 	}
-	name := s.words[1]
+	name := s.fields[1]
 	if !camelCase(name) {
-		p.find(s.line, s.words[0], fmt.Sprintf("name %q", name), "camelCase letters and digits")
+		p.addFinding(s.line, s.fields[0], fmt.Sprintf("name %q", name), "camelCase letters and digits")
 		return "", false
 	}
 	if reserved(name) {
-		p.find(s.line, s.words[0], fmt.Sprintf("%q is a word of the format", name), "another name")
+		p.addFinding(s.line, s.fields[0], fmt.Sprintf("%q is a word of the format", name), "another name")
 		return "", false
 	}
 	return name, true
 }
 
 func (p *parser) declareChart(s statement) {
-	name, ok := p.oneName(s)
+	name, ok := p.singleName(s)
 	if !ok {
 		return
 	}
 	if p.chart.name != "" {
-		p.find(s.line, wordChart, "stands twice", "one chart in a file")
+		p.addFinding(s.line, keywordChart, "stands twice", "one chart in a file")
 		return
 	}
 	p.chart.name = name
 }
 
 func (p *parser) declareInitial(s statement) {
-	if _, ok := p.oneName(s); !ok {
+	if _, ok := p.singleName(s); !ok {
 		return
 	}
 	if p.initialName.line != 0 {
-		p.find(s.line, wordInitial, "stands twice", "one initial state")
+		p.addFinding(s.line, keywordInitial, "stands twice", "one initial state")
 		return
 	}
 	p.initialName = s
@@ -162,77 +162,77 @@
 	p.chart.events = append(p.chart.events, name)
 }
 
-// newName enters a declaration's name into index, unless it is wrong, taken
-// or one too many.
+// newName adds the name in a declaration to index. It reports false if the name is
+// invalid or already declared, or if the limit has been reached.
 func (p *parser) newName(s statement, index map[string]int, limit int) (string, bool) {
-	name, ok := p.oneName(s)
+	name, ok := p.singleName(s)
 	if !ok {
 		return "", false
 	}
-	if _, taken := index[name]; taken {
-		p.find(s.line, name, s.words[0]+" is declared twice", "one declaration")
+	if _, declared := index[name]; declared {
+		p.addFinding(s.line, name, s.fields[0]+" is declared twice", "one declaration")
 		return "", false
 	}
 	if len(index) == limit {
-		p.find(s.line, name, "one "+s.words[0]+" too many", fmt.Sprintf("at most %d", limit))
+		p.addFinding(s.line, name, "one "+s.fields[0]+" too many", fmt.Sprintf("at most %d", limit))
 		return "", false
 	}
 	index[name] = len(index)
 	return name, true
 }
 
-func (p *parser) makeTable() {
+func (p *parser) allocateTable() {
 	for i := range p.chart.states {
 		p.chart.states[i].cells = make([]cell, len(p.chart.events))
 	}
 }
 
-// decide takes the statements that say what happens on an event.
-func (p *parser) decide(s statement) {
-	switch s.words[0] {
-	case wordChart, wordInitial, wordState, wordRest, wordFinal, wordEvent:
-	case wordIgnore:
-		p.decideList(s, ignore)
-	case wordReject:
-		p.decideList(s, reject)
+// define processes a statement that defines the action for an event in a state.
+func (p *parser) define(s statement) {
+	switch s.fields[0] {
+	case keywordChart, keywordInitial, keywordState, keywordRest, keywordFinal, keywordEvent:
+	case keywordIgnore:
+		p.defineEvents(s, ignore)
+	case keywordReject:
+		p.defineEvents(s, reject)
 	default:
-		p.decideMove(s)
+		p.defineTransition(s)
 	}
 }
 
-const moveWords = 4
+const transitionFields = 4
 
-func (p *parser) decideMove(s statement) {
-	if len(s.words) != moveWords || s.words[2] != wordArrow {
-		p.find(s.line, "", fmt.Sprintf("cannot read %q", strings.Join(s.words, " ")), `"state event -> state" or a word of the format`)
+func (p *parser) defineTransition(s statement) {
+	if len(s.fields) != transitionFields || s.fields[2] != keywordArrow {
+		p.addFinding(s.line, "", fmt.Sprintf("cannot read %q", strings.Join(s.fields, " ")), `"state event -> state" or a word of the format`)
 		return
 	}
-	from, fromOK := p.state(s.line, s.words[0])
-	event, eventOK := p.event(s.line, s.words[1])
-	to, toOK := p.state(s.line, s.words[3])
+	from, fromOK := p.state(s.line, s.fields[0])
+	event, eventOK := p.event(s.line, s.fields[1])
+	to, toOK := p.state(s.line, s.fields[3])
 	if !fromOK || !eventOK || !toOK {
 		return
 	}
 	if p.chart.states[from].kind == final {
-		p.find(s.line, s.words[0], "a final state has a transition", "none")
+		p.addFinding(s.line, s.fields[0], "a final state has a transition", "none")
 		return
 	}
-	p.set(from, event, cell{action: move, target: to, line: s.line})
+	p.set(from, event, cell{action: transition, target: to, line: s.line})
 }
 
-func (p *parser) decideList(s statement, a action) {
+func (p *parser) defineEvents(s statement, a action) {
 	const firstEvent = 2
-	if len(s.words) <= firstEvent {
-		p.find(s.line, s.words[0], "names no event", "a state and one or more events")
+	if len(s.fields) <= firstEvent {
+		p.addFinding(s.line, s.fields[0], "names no event", "a state and one or more events")
 		return
 	}
-	from, ok := p.state(s.line, s.words[1])
+	from, ok := p.state(s.line, s.fields[1])
 	if !ok {
 		return
 	}
-	for _, name := range s.words[firstEvent:] {
-		if name == wordAll {
-			p.decideAll(s, from, a)
+	for _, name := range s.fields[firstEvent:] {
+		if name == keywordAll {
+			p.defineAllEvents(s, from, a)
 			continue
 		}
 		if event, ok := p.event(s.line, name); ok {
@@ -241,11 +241,11 @@
 	}
 }
 
-// decideAll takes "*", which only a final state may have: elsewhere it would
-// hide an event that was forgotten, which is what the check is there to find.
-func (p *parser) decideAll(s statement, from int, a action) {
+// defineAllEvents processes "*", which is only allowed for a final state. In any other
+// state it would hide a missing event from checkComplete.
+func (p *parser) defineAllEvents(s statement, from int, a action) {
 	if p.chart.states[from].kind != final {
-		p.find(s.line, s.words[1], "has * but is not final", "each event by name")
+		p.addFinding(s.line, s.fields[1], "has * but is not final", "each event by name")
 		return
 	}
 	for event := range p.chart.events {
@@ -255,9 +255,9 @@
 
 func (p *parser) set(state, event int, c cell) {
 	old := &p.chart.states[state].cells[event]
-	if old.action != undecided {
+	if old.action != undefined {
 		key := p.chart.states[state].name + "." + p.chart.events[event]
-		p.find(c.line, key, fmt.Sprintf("already decided on line %d", old.line), "one decision")
+		p.addFinding(c.line, key, fmt.Sprintf("already decided on line %d", old.line), "one decision")
 		return
 	}
 	*old = c
@@ -266,7 +266,7 @@
 func (p *parser) state(line int, name string) (int, bool) {
 	i, ok := p.chart.stateIndex[name]
 	if !ok {
-		p.find(line, name, "unknown state", "")
+		p.addFinding(line, name, "unknown state", "")
 	}
 	return i, ok
 }
@@ -274,17 +274,17 @@
 func (p *parser) event(line int, name string) (int, bool) {
 	i, ok := p.chart.eventIndex[name]
 	if !ok {
-		p.find(line, name, "unknown event", "")
+		p.addFinding(line, name, "unknown event", "")
 	}
 	return i, ok
 }
 
 func (p *parser) resolveInitial() {
 	if p.initialName.line == 0 {
-		p.find(0, wordInitial, "is missing", "one initial state")
+		p.addFinding(0, keywordInitial, "is missing", "one initial state")
 		return
 	}
-	p.chart.initial, p.hasInitial = p.state(p.initialName.line, p.initialName.words[1])
+	p.chart.initial, p.hasInitial = p.state(p.initialName.line, p.initialName.fields[1])
 }
 
 func camelCase(name string) bool {
@@ -300,7 +300,7 @@
 
 func reserved(name string) bool {
 	switch name {
-	case wordChart, wordInitial, wordState, wordRest, wordFinal, wordEvent, wordIgnore, wordReject:
+	case keywordChart, keywordInitial, keywordState, keywordRest, keywordFinal, keywordEvent, keywordIgnore, keywordReject:
 		return true
 	}
 	return false
