--- a/internal/state/burdockcharts/charts.go
+++ b/internal/state/burdockcharts/charts.go
@@ -1,6 +1,6 @@
-// Package burdockcharts holds the state charts of requests, upstreams, process
-// stop and configuration, with typed constants for their states and events.
-// The chart files beside this one say what each state and event means.
+// Package burdockcharts has the state charts of requests, upstreams, the planned stop of
+// a process and its configuration, with typed constants for their states and events.
+// The meaning of each state and event is documented in the .chart files.
 package burdockcharts
 
 import (
@@ -12,8 +12,8 @@
 //go:embed *.chart
 var files embed.FS
 
-// load reads one embedded chart. The files are part of the program, so an
-// error is a fault in its source; it can only come up when the program starts.
+// load parses an embedded chart. It panics on an error, because the chart is part of
+// the program, so an error is a bug that shows up at every start.
 func load[S, E ~string](file string, states []S, events []E) burdockchart.Typed[S, E] {
 	typed, err := loadFrom(file, states, events)
 	if err != nil {
--- a/internal/state/burdockcharts/charts_test.go
+++ b/internal/state/burdockcharts/charts_test.go
@@ -11,19 +11,19 @@
 )
 
 func TestAllChartsLoad(t *testing.T) {
-	checks := map[string]error{}
-	_, checks["request.chart"] = loadFrom("request.chart", requestStates, requestEvents)
-	_, checks["upstream.chart"] = loadFrom("upstream.chart", upstreamStates, upstreamEvents)
-	_, checks["stop.chart"] = loadFrom("stop.chart", stopStates, stopEvents)
-	_, checks["configuration.chart"] = loadFrom("configuration.chart", configurationStates, configurationEvents)
+	errs := map[string]error{}
+	_, errs["request.chart"] = loadFrom("request.chart", requestStates, requestEvents)
+	_, errs["upstream.chart"] = loadFrom("upstream.chart", upstreamStates, upstreamEvents)
+	_, errs["stop.chart"] = loadFrom("stop.chart", stopStates, stopEvents)
+	_, errs["configuration.chart"] = loadFrom("configuration.chart", configurationStates, configurationEvents)
 	names, err := fs.Glob(files, "*.chart")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range names {
-		err, tried := checks[name]
-		if !tried {
-			t.Errorf("%s: no machine is made from it", name)
+		err, loaded := errs[name]
+		if !loaded {
+			t.Errorf("%s: no machine uses this chart", name)
 		}
 		if err != nil {
 			t.Errorf("%s:\n%v", name, err)
@@ -31,14 +31,14 @@
 	}
 }
 
-// A caller was told "not run", sent the letter again and got it twice: the
-// agent had written the first one to the upstream, then lost the connection
-// and refused. Once handed over, a request must not end as refused.
-func TestRequestHandedOverIsNeverRefused(t *testing.T) {
+// Guards against running a request twice: the agent writes it to the upstream, loses
+// the connection and refuses it, so the caller gets "not run" and sends it again. After
+// the handover a request must not end as refused.
+func TestHandedOverRequestIsNeverRefused(t *testing.T) {
 	var walk func(m RequestMachine, handedOver bool, depth int)
 	walk = func(m RequestMachine, handedOver bool, depth int) {
 		if handedOver && m.State() == RequestRefused {
-			t.Fatal("a request was refused after it was handed over")
+			t.Fatal("a request was refused after the handover")
 		}
 		if m.Final() || depth == 0 {
 			return
@@ -50,13 +50,13 @@
 			}
 		}
 	}
-	const longest = 8
-	walk(NewRequest(), false, longest)
+	const maxDepth = 8
+	walk(NewRequest(), false, maxDepth)
 }
 
-// An entry sent new work to an upstream that had said it was leaving, since
-// the membership list lagged and probes still passed. Leaving has no way back.
-func TestLeavingUpstreamOnlyGoes(t *testing.T) {
+// Guards against sending new requests to an upstream that is leaving. The membership
+// list may lag behind and probes may still pass, so no event leads back from leaving.
+func TestLeavingUpstreamNeverReturns(t *testing.T) {
 	for _, event := range upstreamEvents {
 		m := NewUpstream()
 		if _, err := m.Fire(UpstreamEventLeave); err != nil {
--- a/internal/state/burdockcharts/configuration.go
+++ b/internal/state/burdockcharts/configuration.go
@@ -2,7 +2,7 @@
 
 import "burdockbend.example/burdockbend/internal/state/burdockchart"
 
-// ConfigurationState is a state of where a process has its configuration from.
+// ConfigurationState is a state of the source of a process's configuration.
 type ConfigurationState string
 
 // States of configuration.chart.
@@ -13,7 +13,7 @@
 	ConfigurationStale    ConfigurationState = "stale"
 )
 
-// ConfigurationEvent is an event of where a process has its configuration from.
+// ConfigurationEvent is an event of the source of a process's configuration.
 type ConfigurationEvent string
 
 // Events of configuration.chart.
@@ -36,10 +36,11 @@
 	ConfigurationEventLoseStore,
 }
 
-// ConfigurationMachine follows configuration.chart.
+// ConfigurationMachine is a state machine of configuration.chart.
 type ConfigurationMachine = burdockchart.Machine[ConfigurationState, ConfigurationEvent]
 
 var configurationChart = load("configuration.chart", configurationStates, configurationEvents)
 
-// NewConfiguration returns a machine for where a process has its configuration from, in its initial state.
+// NewConfiguration returns a machine for the source of a process's configuration, in the
+// initial state.
 func NewConfiguration() ConfigurationMachine { return configurationChart.Start() }
--- a/internal/state/burdockcharts/request.go
+++ b/internal/state/burdockcharts/request.go
@@ -2,7 +2,7 @@
 
 import "burdockbend.example/burdockbend/internal/state/burdockchart"
 
-// RequestState is a state of one request at the agent of its upstream.
+// RequestState is a state of a request at the agent of its upstream.
 type RequestState string
 
 // States of request.chart.
@@ -20,7 +20,7 @@
 	RequestCancelled  RequestState = "cancelled"
 )
 
-// RequestEvent is an event of one request at the agent of its upstream.
+// RequestEvent is an event of a request at the agent of its upstream.
 type RequestEvent string
 
 // Events of request.chart.
@@ -66,10 +66,11 @@
 	RequestEventSlotFreed,
 }
 
-// RequestMachine follows request.chart.
+// RequestMachine is a state machine of request.chart.
 type RequestMachine = burdockchart.Machine[RequestState, RequestEvent]
 
 var requestChart = load("request.chart", requestStates, requestEvents)
 
-// NewRequest returns a machine for one request at the agent of its upstream, in its initial state.
+// NewRequest returns a machine for a request at the agent of its upstream, in the
+// initial state.
 func NewRequest() RequestMachine { return requestChart.Start() }
--- a/internal/state/burdockcharts/stop.go
+++ b/internal/state/burdockcharts/stop.go
@@ -38,10 +38,10 @@
 	StopEventClosed,
 }
 
-// StopMachine follows stop.chart.
+// StopMachine is a state machine of stop.chart.
 type StopMachine = burdockchart.Machine[StopState, StopEvent]
 
 var stopChart = load("stop.chart", stopStates, stopEvents)
 
-// NewStop returns a machine for the planned stop of a process, in its initial state.
+// NewStop returns a machine for the planned stop of a process, in the initial state.
 func NewStop() StopMachine { return stopChart.Start() }
--- a/internal/state/burdockcharts/upstream.go
+++ b/internal/state/burdockcharts/upstream.go
@@ -2,7 +2,7 @@
 
 import "burdockbend.example/burdockbend/internal/state/burdockchart"
 
-// UpstreamState is a state of one upstream as an entry sees it.
+// UpstreamState is a state of an upstream as seen by one entry.
 type UpstreamState string
 
 // States of upstream.chart.
@@ -15,7 +15,7 @@
 	UpstreamGone    UpstreamState = "gone"
 )
 
-// UpstreamEvent is an event of one upstream as an entry sees it.
+// UpstreamEvent is an event of an upstream as seen by one entry.
 type UpstreamEvent string
 
 // Events of upstream.chart.
@@ -50,10 +50,11 @@
 	UpstreamEventVanish,
 }
 
-// UpstreamMachine follows upstream.chart.
+// UpstreamMachine is a state machine of upstream.chart.
 type UpstreamMachine = burdockchart.Machine[UpstreamState, UpstreamEvent]
 
 var upstreamChart = load("upstream.chart", upstreamStates, upstreamEvents)
 
-// NewUpstream returns a machine for one upstream as an entry sees it, in its initial state.
+// NewUpstream returns a machine for an upstream as seen by one entry, in the
+// initial state.
 func NewUpstream() UpstreamMachine { return upstreamChart.Start() }
