--- a/internal/measure/burdockcapacitylab/fleet.go
+++ b/internal/measure/burdockcapacitylab/fleet.go
@@ -113,7 +113,7 @@
 	}
 	var entries []burdockconfig.Entry
 	for slot := range burdockledger.Slot(burdockledger.SlotCount) {
-		home := burdockhome.Home{Upstream: burdockhome.Order(service, slot, members)[0], Incarnation: burdockid.NewIncarnation()}
+		home := burdockhome.Owner{Upstream: burdockhome.Order(service, slot, members)[0], Incarnation: burdockid.NewIncarnation()}
 		value, err := burdockhome.Encode(home)
 		if err != nil {
 			return nil, err
--- a/internal/measure/burdockcapacitylab/fleet_test.go
+++ b/internal/measure/burdockcapacitylab/fleet_test.go
@@ -24,7 +24,7 @@
 			t.Errorf("size in force: got %+v, want %+v", got, size)
 		}
 		for service := range fleet.Services {
-			if got, want := len(fleet.Homes[service]), burdockledger.SlotCount; got != want {
+			if got, want := len(fleet.KeyOwners[service]), burdockledger.SlotCount; got != want {
 				t.Errorf("homes of %s: got %d, want %d", service, got, want)
 			}
 		}
--- a/internal/measure/burdockcapacitylab/serve.go
+++ b/internal/measure/burdockcapacitylab/serve.go
@@ -158,9 +158,9 @@
 	for i := range members {
 		members[i] = upstreamName(i)
 	}
-	settled := burdockhome.Homes{}
+	settled := burdockhome.Owners{}
 	for slot := range burdockledger.Slot(burdockledger.SlotCount) {
-		settled[slot] = burdockhome.Versioned{Home: burdockhome.Home{Upstream: members[1+int(slot)%(n-1)], Incarnation: "1"}, Version: 1}
+		settled[slot] = burdockhome.VersionedOwner{Owner: burdockhome.Owner{Upstream: members[1+int(slot)%(n-1)], Incarnation: "1"}, Version: 1}
 	}
 	c := burdockhome.NewClaimer(burdockhome.Self{Service: service, Upstream: members[0], Incarnation: "1"})
 	// At instant 0 only slots that prefer this agent are claimed, so that each
@@ -168,7 +168,7 @@
 	return HomesCost{
 		Members:  n,
 		Settled:  processorTime(func() { c.Claims(0, 0, settled, members) }),
-		Homeless: processorTime(func() { c.Claims(0, 0, burdockhome.Homes{}, members) }),
+		Homeless: processorTime(func() { c.Claims(0, 0, burdockhome.Owners{}, members) }),
 		Rank:     processorTime(func() { burdockhome.Rank(service, 7, members, members[0]) }),
 	}
 }
--- a/internal/serve/burdockagent/agent.go
+++ b/internal/serve/burdockagent/agent.go
@@ -142,7 +142,7 @@
 	}
 	a.policy = policyOf(a.cfg, fleet)
 	a.queue.Reconfigure(now, a.policy.queue)
-	a.keys.applyOwners(fleet.Homes[a.policy.service], a.cfg.Upstream, a.incarnation)
+	a.keys.applyOwners(fleet.KeyOwners[a.policy.service], a.cfg.Upstream, a.incarnation)
 }
 
 // expireJobs cancels requests whose answer nobody reads any longer, and deletes jobs
--- a/internal/serve/burdockagent/cluster_test.go
+++ b/internal/serve/burdockagent/cluster_test.go
@@ -165,7 +165,7 @@
 	}
 	waitFor(t, "every slot has an owner", func() bool {
 		c.clock.Advance(burdockclock.Second)
-		return allSlotsOwned(c.members[0].fleet().Now().Homes[historyService])
+		return allSlotsOwned(c.members[0].fleet().Now().KeyOwners[historyService])
 	})
 	return c
 }
--- a/internal/serve/burdockagent/handover.go
+++ b/internal/serve/burdockagent/handover.go
@@ -46,11 +46,11 @@
 		m.agent.abortHandover(slot)
 		return
 	}
-	m.writeHandover(ctx, service, slot, ownerWrite{base: base, owner: burdockhome.Home{
-		Upstream:    next,
-		Incarnation: inc,
-		SinceMillis: burdockclock.Millis(offer.GetSinceMillis()),
-		From:        m.agent.incarnation,
+	m.writeHandover(ctx, service, slot, ownerWrite{base: base, owner: burdockhome.Owner{
+		Upstream:      next,
+		Incarnation:   inc,
+		CompleteSince: burdockclock.Millis(offer.GetSinceMillis()),
+		HandedOverBy:  m.agent.incarnation,
 	}})
 }
 
--- a/internal/serve/burdockagent/handover_test.go
+++ b/internal/serve/burdockagent/handover_test.go
@@ -43,8 +43,8 @@
 func (e *testEnv) setOwner(version burdockid.Version, from burdockid.Incarnation) {
 	e.agent.mu.Lock()
 	defer e.agent.mu.Unlock()
-	owner := burdockhome.Home{Upstream: "u-1", Incarnation: e.agent.incarnation, From: from}
-	owners := burdockhome.Homes{burdockledger.SlotOf(testKeyRequest().Key): {Home: owner, Version: version}}
+	owner := burdockhome.Owner{Upstream: "u-1", Incarnation: e.agent.incarnation, HandedOverBy: from}
+	owners := burdockhome.Owners{burdockledger.SlotOf(testKeyRequest().Key): {Owner: owner, Version: version}}
 	e.agent.keys.applyOwners(owners, "u-1", e.agent.incarnation)
 }
 
--- a/internal/serve/burdockagent/history_test.go
+++ b/internal/serve/burdockagent/history_test.go
@@ -242,7 +242,7 @@
 	defer cancel()
 	target := c.cluster.members[c.random.IntN(len(c.cluster.members))]
 	slot := burdockledger.SlotOf(burdockledger.KeyOf(historyCustomer, burdockid.IdempotencyKey(call.key)))
-	owners := target.fleet().Now().Homes[historyService]
+	owners := target.fleet().Now().KeyOwners[historyService]
 	for _, m := range c.cluster.members {
 		if c.random.IntN(8) > 0 && owners[slot].Upstream == m.name {
 			target = m
@@ -306,4 +306,4 @@
 }
 
 // allSlotsOwned reports whether every slot has an owner.
-func allSlotsOwned(owners burdockhome.Homes) bool { return len(owners) == burdockledger.SlotCount }
+func allSlotsOwned(owners burdockhome.Owners) bool { return len(owners) == burdockledger.SlotCount }
--- a/internal/serve/burdockagent/keys.go
+++ b/internal/serve/burdockagent/keys.go
@@ -28,7 +28,7 @@
 // a slot have the same owner. The agent's lock guards it.
 type keySlots struct {
 	ledger *burdockledger.Ledger
-	owners burdockhome.Homes
+	owners burdockhome.Owners
 	// ownerVersion contains, for each slot that the agent owns, the version of the
 	// configuration entry that made it the owner.
 	ownerVersion map[burdockledger.Slot]burdockid.Version
@@ -43,7 +43,7 @@
 func newKeySlots() *keySlots {
 	return &keySlots{
 		ledger:       burdockledger.New(),
-		owners:       burdockhome.Homes{},
+		owners:       burdockhome.Owners{},
 		ownerVersion: map[burdockledger.Slot]burdockid.Version{},
 		offers:       map[burdockledger.Slot]slotOffers{},
 		handingOver:  map[burdockledger.Slot]bool{},
@@ -57,7 +57,7 @@
 // see only the last of the two changes. If it then continued with its old records, it
 // would run a key again that the other owner ran. A slot whose version has changed is
 // therefore acquired again.
-func (k *keySlots) applyOwners(owners burdockhome.Homes, self burdockid.Upstream, inc burdockid.Incarnation) {
+func (k *keySlots) applyOwners(owners burdockhome.Owners, self burdockid.Upstream, inc burdockid.Incarnation) {
 	k.owners = owners
 	for slot := range burdockledger.Slot(burdockledger.SlotCount) {
 		owner, known := owners[slot]
@@ -79,13 +79,13 @@
 
 // acquire makes the agent the owner of a slot, and imports the records that the previous
 // owner handed over, if any. Records of the slot that the ledger already has stay.
-func (k *keySlots) acquire(slot burdockledger.Slot, owner burdockhome.Versioned) {
-	offer := k.offers[slot][owner.From]
+func (k *keySlots) acquire(slot burdockledger.Slot, owner burdockhome.VersionedOwner) {
+	offer := k.offers[slot][owner.HandedOverBy]
 	delete(k.offers, slot)
 	delete(k.handingOver, slot)
 	switch {
-	case owner.From == "":
-		k.ledger.AcquireSlot(slot, owner.SinceMillis)
+	case owner.HandedOverBy == "":
+		k.ledger.AcquireSlot(slot, owner.CompleteSince)
 	case offer == nil:
 		// The configuration names a handover that this process never received. This
 		// can't happen, because an owner is named by incarnation. Not running any key of
@@ -93,7 +93,7 @@
 		k.release(slot)
 		return
 	default:
-		k.ledger.ImportSlot(slot, owner.SinceMillis, recordsOf(offer))
+		k.ledger.ImportSlot(slot, owner.CompleteSince, recordsOf(offer))
 	}
 	k.ownerVersion[slot] = owner.Version
 }
--- a/internal/serve/burdockagent/keyslotmanager.go
+++ b/internal/serve/burdockagent/keyslotmanager.go
@@ -56,7 +56,7 @@
 // ownerWrite is a write of a slot's owner over a base version.
 type ownerWrite struct {
 	base  burdockid.Version
-	owner burdockhome.Home
+	owner burdockhome.Owner
 }
 
 // writeResult is the result of writing a slot's owner.
@@ -162,8 +162,8 @@
 	}
 	members := upstreamNames(fleet.Members[service])
 	var tasks []slotTask
-	for _, claim := range m.claimer.Claims(a.deps.Clock.Boot(), a.deps.Clock.Now(), fleet.Homes[service], members) {
-		tasks = append(tasks, slotTask{manager: m, service: service, slot: claim.Slot, action: claimAction{ownerWrite{base: claim.Base, owner: claim.Home}}})
+	for _, claim := range m.claimer.Claims(a.deps.Clock.Boot(), a.deps.Clock.Now(), fleet.KeyOwners[service], members) {
+		tasks = append(tasks, slotTask{manager: m, service: service, slot: claim.Slot, action: claimAction{ownerWrite{base: claim.Base, owner: claim.Owner}}})
 	}
 	runAll(ctx, tasks)
 }
--- a/internal/serve/burdockdirect/fixture_test.go
+++ b/internal/serve/burdockdirect/fixture_test.go
@@ -142,9 +142,9 @@
 	f.site.SetConfig(burdocksite.Config{
 		Version: version,
 		Routes: []burdocksite.Route{
-			{Name: "once", Host: "127.0.0.1", Prefix: "/once/", Timeout: timeout, Objective: 200, Repeat: burdocksite.RepeatNever, Attempts: 2, Shares: share},
-			{Name: "again", Host: "127.0.0.1", Prefix: "/again/", Timeout: timeout, Objective: 200, Repeat: burdocksite.RepeatAlways, Attempts: 2, Shares: share},
-			{Name: "stream", Host: "127.0.0.1", Prefix: "/stream/", Timeout: timeout, Objective: 200, Gap: 100, Stream: true, Resumable: true, Attempts: 2, Shares: share},
+			{Name: "once", Host: "127.0.0.1", Prefix: "/once/", Timeout: timeout, Objective: 200, Repeat: burdocksite.RepeatNever, MaxAttempts: 2, Shares: share},
+			{Name: "again", Host: "127.0.0.1", Prefix: "/again/", Timeout: timeout, Objective: 200, Repeat: burdocksite.RepeatAlways, MaxAttempts: 2, Shares: share},
+			{Name: "stream", Host: "127.0.0.1", Prefix: "/stream/", Timeout: timeout, Objective: 200, MaxEventGap: 100, Stream: true, Resumable: true, MaxAttempts: 2, Shares: share},
 		},
 		Services:  map[burdockid.Service]burdocksite.Service{"s": {Name: "s"}},
 		Customers: []burdocksite.Customer{{Name: "acme", Keys: []string{"key"}}},
--- a/internal/serve/burdockdirect/gate.go
+++ b/internal/serve/burdockdirect/gate.go
@@ -119,7 +119,7 @@
 		return burdockpace.Engine{}, false
 	}
 	return burdockpace.Engine{
-		Slots: e.Slots, StepsPerEvent: e.Stride, BaseStepMillis: e.StepMillis,
+		Slots: e.Slots, StepsPerEvent: e.StepsPerEvent, BaseStepMillis: e.BaseStepMillis,
 		StepMillisPerRequest: stepMillisPerRequest(e),
 	}, true
 }
@@ -127,7 +127,7 @@
 // stepMillisPerRequest returns how much each request adds to a token step, given its
 // typical context.
 func stepMillisPerRequest(e *burdocksite.Engine) float64 {
-	return e.SequenceMillis + e.ContextMillis*float64(e.UsualPrompt)/tokensPerContextUnit
+	return e.StepMillisPerRequest + e.StepMillisPerThousandTokens*float64(e.MeanPromptTokens)/tokensPerContextUnit
 }
 
 func totalSlots(members []burdocksite.Upstream) int {
--- a/internal/serve/burdockdirect/group_test.go
+++ b/internal/serve/burdockdirect/group_test.go
@@ -22,11 +22,11 @@
 	cfg.Version++
 	for i := range cfg.Routes {
 		if cfg.Routes[i].Stream {
-			cfg.Routes[i].Patience = firstEventTimeout
+			cfg.Routes[i].EventTimeout = firstEventTimeout
 		}
 	}
 	cfg.Services = map[burdockid.Service]burdocksite.Service{"s": {Name: "s", Engine: &burdocksite.Engine{
-		Slots: 12, Stride: 4, StepMillis: 4.5, SequenceMillis: 0.9, Layers: 2,
+		Slots: 12, StepsPerEvent: 4, BaseStepMillis: 4.5, StepMillisPerRequest: 0.9, Layers: 2,
 	}}}
 	f.site.SetConfig(cfg)
 }
--- a/internal/serve/burdockdirect/migrate.go
+++ b/internal/serve/burdockdirect/migrate.go
@@ -57,7 +57,7 @@
 
 // mayMigrate reports whether a stream that leaves its engine could be offered again.
 func (o *offers) mayMigrate() bool {
-	return o.req.route.Repeatable() && o.sent+1 < o.req.route.Attempts
+	return o.req.route.Repeatable() && o.sent+1 < o.req.route.MaxAttempts
 }
 
 // payMigration charges the budget for the retry of a stream that is to migrate.
--- a/internal/serve/burdockdirect/offers.go
+++ b/internal/serve/burdockdirect/offers.go
@@ -326,7 +326,7 @@
 		o.giveUp(d.(burdockretry.GiveUp))
 		return true
 	}
-	if o.sent >= o.req.route.Attempts || connectFailed && o.unreached >= maxUnreached {
+	if o.sent >= o.req.route.MaxAttempts || connectFailed && o.unreached >= maxUnreached {
 		o.giveUp(burdockretry.GiveUp{Reason: burdockretry.ReasonMaxOffers, RetryAfter: retrySpread})
 		return true
 	}
--- a/internal/serve/burdockdirect/pool.go
+++ b/internal/serve/burdockdirect/pool.go
@@ -110,8 +110,8 @@
 	for _, route := range snap.Config.Routes {
 		for _, share := range route.Shares {
 			if share.Service == service && route.Stream {
-				firstEventTimeout = minNonZero(firstEventTimeout, route.Patience)
-				maxEventGap = minNonZero(maxEventGap, route.Gap)
+				firstEventTimeout = minNonZero(firstEventTimeout, route.EventTimeout)
+				maxEventGap = minNonZero(maxEventGap, route.MaxEventGap)
 			}
 		}
 	}
--- a/internal/serve/burdockdirect/rules_test.go
+++ b/internal/serve/burdockdirect/rules_test.go
@@ -508,7 +508,7 @@
 	cfg := *f.site.Now().Config
 	cfg.Version++
 	cfg.Services = map[burdockid.Service]burdocksite.Service{"s": {Name: "s", Engine: &burdocksite.Engine{
-		Slots: 12, Stride: 4, StepMillis: 4.5, SequenceMillis: 0.9,
+		Slots: 12, StepsPerEvent: 4, BaseStepMillis: 4.5, StepMillisPerRequest: 0.9,
 	}}}
 	f.site.SetConfig(cfg)
 	if got := p.gate.limit; got == nil {
@@ -522,7 +522,7 @@
 	cfg.Routes = slices.Clone(cfg.Routes)
 	for i := range cfg.Routes {
 		if cfg.Routes[i].Stream {
-			cfg.Routes[i].Gap = cfg.Routes[i].Gap * 8 / 10
+			cfg.Routes[i].MaxEventGap = cfg.Routes[i].MaxEventGap * 8 / 10
 		}
 	}
 	f.site.SetConfig(cfg)
--- a/internal/serve/burdockdirect/speed_test.go
+++ b/internal/serve/burdockdirect/speed_test.go
@@ -21,7 +21,7 @@
 	cfg := *f.site.Now().Config
 	cfg.Version++
 	cfg.Services = map[burdockid.Service]burdocksite.Service{"s": {Name: "s", Engine: &burdocksite.Engine{
-		Slots: 12, Stride: 4, StepMillis: 4.5, SequenceMillis: 0.9, ExpertShare: 0.85,
+		Slots: 12, StepsPerEvent: 4, BaseStepMillis: 4.5, StepMillisPerRequest: 0.9, ExpertShare: 0.85,
 	}}}
 	f.site.SetConfig(cfg)
 	return f
@@ -71,7 +71,7 @@
 // must still place streams on all of them.
 func TestUniformlySlowGroupHasEqualWeights(t *testing.T) {
 	members := map[burdockid.Upstream]burdocksite.Upstream{"a": {ID: "a", Address: "1:1"}, "b": {ID: "b", Address: "2:1"}}
-	engine := &burdocksite.Engine{StepMillis: 4.5, SequenceMillis: 0.9, ExpertShare: 0.85}
+	engine := &burdocksite.Engine{BaseStepMillis: 4.5, StepMillisPerRequest: 0.9, ExpertShare: 0.85}
 	if got := speedWeights(engine, members, map[string]burdockspeed.Speed{"1:1": 0.25, "2:1": 0.25}, 7); len(got) != 0 {
 		t.Errorf("weights: got %v, want none below 1", got)
 	}
@@ -155,7 +155,7 @@
 	cfg := *f.site.Now().Config
 	cfg.Version++
 	cfg.Services = map[burdockid.Service]burdocksite.Service{"s": {Name: "s", Engine: &burdocksite.Engine{
-		Slots: 10 * streams, Stride: 1, StepMillis: 0.1, SequenceMillis: 0.001, ExpertShare: 0.85,
+		Slots: 10 * streams, StepsPerEvent: 1, BaseStepMillis: 0.1, StepMillisPerRequest: 0.001, ExpertShare: 0.85,
 	}}}
 	f.site.SetConfig(cfg)
 	done := make(chan reply, streams)
--- a/internal/serve/burdockdirect/weights.go
+++ b/internal/serve/burdockdirect/weights.go
@@ -69,7 +69,7 @@
 		known = append(known, speed)
 	}
 	cost := burdockspeed.StepCost{
-		BaseStepMillis: engine.StepMillis, StepMillisPerRequest: stepMillisPerRequest(engine), ExpertShare: engine.ExpertShare,
+		BaseStepMillis: engine.BaseStepMillis, StepMillisPerRequest: stepMillisPerRequest(engine), ExpertShare: engine.ExpertShare,
 		TypicalRequests: max(requests, minRequests),
 	}
 	weights := map[burdockid.Upstream]float64{}
--- a/internal/serve/burdockentry/health.go
+++ b/internal/serve/burdockentry/health.go
@@ -65,7 +65,7 @@
 	case c.Cause != burdockeject.CauseRecovered && c.Level == burdockeject.LevelEjected:
 		h.fire(now, c.Upstream, burdockcharts.UpstreamEventEject, reason)
 	case c.Cause != burdockeject.CauseRecovered:
-		h.fire(now, c.Upstream, burdockcharts.UpstreamEventDoubt, reason)
+		h.fire(now, c.Upstream, burdockcharts.UpstreamEventSuspect, reason)
 	case h.state(c.Upstream) == burdockcharts.UpstreamLeaving:
 		h.fire(now, c.Upstream, burdockcharts.UpstreamEventVanish, "another incarnation answers")
 	case c.Level == burdockeject.LevelFull:
--- a/internal/serve/burdockentry/key_owner.go
+++ b/internal/serve/burdockentry/key_owner.go
@@ -32,7 +32,7 @@
 func (d *dispatcher) owner() (burdockmember.Upstream, burdockplace.Choice, bool) {
 	fleet := d.entry.deps.Fleet.Now()
 	slot := burdockledger.SlotOf(burdockledger.KeyOf(d.req.customer, d.req.idempotencyKey))
-	owner, ok := fleet.Homes[d.req.service][slot]
+	owner, ok := fleet.KeyOwners[d.req.service][slot]
 	if !ok {
 		return burdockmember.Upstream{}, burdockplace.Choice{}, false
 	}
--- a/internal/serve/burdockhosted/engine.go
+++ b/internal/serve/burdockhosted/engine.go
@@ -247,7 +247,7 @@
 		return burdockengine.GroupCounts{}, err
 	}
 	out := burdockengine.GroupCounts{
-		Life: burdockengine.Life(strconv.FormatInt(epoch, 10)), Slots: spec.Places, MaxLoads: spec.Spare,
+		Life: burdockengine.Life(strconv.FormatInt(epoch, 10)), Slots: spec.ExpertSlots, MaxLoads: spec.MaxLoads,
 		ExpertBytes: spec.ExpertBytes, StoreRate: spec.CopyRate, Speed: e.speed.current(),
 	}
 	for l := 0; l < spec.Layers && (l+1)*spec.Experts <= len(counts); l++ {
--- a/internal/serve/burdockhosted/simulation_test.go
+++ b/internal/serve/burdockhosted/simulation_test.go
@@ -228,7 +228,7 @@
 
 func newSimulation(t *testing.T, seed uint64, ranks int) *simulation {
 	s := &simulation{fakeGroup: &fakeGroup{t: t, seed: seed, random: rand.New(rand.NewPCG(seed, 1)), faults: true, used: map[int64]bool{}}}
-	spec := func() *burdocksite.Engine { return &burdocksite.Engine{Layers: 1, Experts: 4, Places: 2} }
+	spec := func() *burdocksite.Engine { return &burdocksite.Engine{Layers: 1, Experts: 4, ExpertSlots: 2} }
 	for i := range ranks {
 		r := &fakeRank{group: s.fakeGroup, number: i}
 		s.ranks = append(s.ranks, r)
@@ -356,7 +356,7 @@
 	}
 	p := s.proxies[controller][i]
 	if p == nil {
-		spec := func() *burdocksite.Engine { return &burdocksite.Engine{Layers: 1, Experts: 4, Places: 2} }
+		spec := func() *burdocksite.Engine { return &burdocksite.Engine{Layers: 1, Experts: 4, ExpertSlots: 2} }
 		cfg := burdockgroup.DefaultRankConfig(order.To, len(s.ranks), burdockid.NewIncarnation())
 		p = &proxyModel{rank: burdockgroup.NewRank(cfg), engine: &engine{rank: s.remoteRanks[i], spec: spec, epoch: 1, speed: newEngineSpeed(zap.NewNop())}}
 		s.proxies[controller][i] = p
--- a/internal/state/burdockcharts/upstream.go
+++ b/internal/state/burdockcharts/upstream.go
@@ -20,7 +20,7 @@
 
 // Events of upstream.chart.
 const (
-	UpstreamEventDoubt       UpstreamEvent = "doubt"
+	UpstreamEventSuspect     UpstreamEvent = "doubt"
 	UpstreamEventClear       UpstreamEvent = "clear"
 	UpstreamEventEject       UpstreamEvent = "eject"
 	UpstreamEventProbe       UpstreamEvent = "probe"
@@ -40,7 +40,7 @@
 }
 
 var upstreamEvents = []UpstreamEvent{
-	UpstreamEventDoubt,
+	UpstreamEventSuspect,
 	UpstreamEventClear,
 	UpstreamEventEject,
 	UpstreamEventProbe,
--- a/internal/state/burdockfleet/fleet.go
+++ b/internal/state/burdockfleet/fleet.go
@@ -27,8 +27,8 @@
 	Upstreams map[burdockid.Upstream]burdockmember.Upstream
 	Customers map[burdockid.Customer]burdockmember.Customer
 	Entries   map[burdockid.VM]burdockmember.Entry
-	// Homes are the homes of idempotency keys, by service.
-	Homes map[burdockid.Service]burdockhome.Homes
+	// KeyOwners are the homes of idempotency keys, by service.
+	KeyOwners map[burdockid.Service]burdockhome.Owners
 	// ByModel finds the service behind a model's name.
 	ByModel map[string]burdockid.Service
 	// ByKeyHash finds the customer behind the hash of a key.
@@ -111,7 +111,7 @@
 		Upstreams: clone(s.Upstreams),
 		Customers: clone(s.Customers),
 		Entries:   clone(s.Entries),
-		Homes:     clone(s.Homes),
+		KeyOwners: clone(s.KeyOwners),
 	}
 }
 
@@ -151,9 +151,9 @@
 	if err != nil {
 		return err
 	}
-	homes := clone(s.Homes[service])
+	homes := clone(s.KeyOwners[service])
 	homes[slot] = home
-	s.Homes[service] = homes
+	s.KeyOwners[service] = homes
 	return nil
 }
 
--- a/internal/state/burdockfollow/follow.go
+++ b/internal/state/burdockfollow/follow.go
@@ -187,7 +187,7 @@
 				zap.Int("routes", len(c.Config.Routes)), zap.Int("customers", len(c.Config.Customers)))
 		}
 	case UpstreamWritten:
-		c.Upstream.Created = burdocksite.Order(item.Created)
+		c.Upstream.CreateRevision = burdocksite.Revision(item.Created)
 		delete(r.missing, c.Upstream.ID)
 		if r.site.PutUpstream(c.Upstream) {
 			r.log.Info("upstream", zap.String("upstream", string(c.Upstream.ID)), zap.String("service", string(c.Upstream.Service)),
--- a/internal/state/burdockhome/claim.go
+++ b/internal/state/burdockhome/claim.go
@@ -31,9 +31,9 @@
 
 // Claim is a slot that the agent should write its name on.
 type Claim struct {
-	Slot burdockledger.Slot
-	Base burdockid.Version
-	Home Home
+	Slot  burdockledger.Slot
+	Base  burdockid.Version
+	Owner Owner
 }
 
 // Claimer decides which slots an agent claims.
@@ -63,7 +63,7 @@
 // Load: agents are replaced 1,200 times a day at the design's size. Harm
 // prevented: two homes of one slot. A home that may still run keeps its slots,
 // however silent it is: a frozen VM can wake.
-func (c *Claimer) Claims(boot, wall burdockclock.Millis, homes Homes, members []burdockid.Upstream) []Claim {
+func (c *Claimer) Claims(boot, wall burdockclock.Millis, homes Owners, members []burdockid.Upstream) []Claim {
 	if !slices.Contains(members, c.self.Upstream) {
 		return nil
 	}
@@ -80,21 +80,21 @@
 	return claims
 }
 
-func (c *Claimer) claim(boot, wall burdockclock.Millis, slot burdockledger.Slot, homes Homes, members []burdockid.Upstream) (Claim, bool) {
+func (c *Claimer) claim(boot, wall burdockclock.Millis, slot burdockledger.Slot, homes Owners, members []burdockid.Upstream) (Claim, bool) {
 	current, known := homes[slot]
-	next := Home{Upstream: c.self.Upstream, Incarnation: c.self.Incarnation}
+	next := Owner{Upstream: c.self.Upstream, Incarnation: c.self.Incarnation}
 	switch {
 	case !known:
 		// Nobody was ever its home, so no key of it has run.
-		return Claim{Slot: slot, Home: next}, c.waited(boot, slot, members) >= 0
+		return Claim{Slot: slot, Owner: next}, c.waited(boot, slot, members) >= 0
 	case current.Upstream == c.self.Upstream && current.Incarnation != c.self.Incarnation:
 		// The process before this one on the same slot of the VM. It is gone, and
 		// its memory with it.
-		next.SinceMillis = wall
-		return Claim{Slot: slot, Base: current.Version, Home: next}, true
+		next.CompleteSince = wall
+		return Claim{Slot: slot, Base: current.Version, Owner: next}, true
 	case !slices.Contains(members, current.Upstream):
-		next.SinceMillis = wall
-		return Claim{Slot: slot, Base: current.Version, Home: next}, c.waited(boot, slot, members) >= goneGrace
+		next.CompleteSince = wall
+		return Claim{Slot: slot, Base: current.Version, Owner: next}, c.waited(boot, slot, members) >= goneGrace
 	default:
 		delete(c.without, slot)
 		return Claim{}, false
--- a/internal/state/burdockhome/claim_test.go
+++ b/internal/state/burdockhome/claim_test.go
@@ -22,7 +22,7 @@
 }
 
 // claimAll lets a claimer write until it wants nothing more.
-func claimAll(c *Claimer, boot, wall burdockclock.Millis, homes Homes) int {
+func claimAll(c *Claimer, boot, wall burdockclock.Millis, homes Owners) int {
 	total := 0
 	for {
 		claims := c.Claims(boot, wall, homes, members)
@@ -30,14 +30,14 @@
 			return total
 		}
 		for _, claim := range claims {
-			homes[claim.Slot] = Versioned{Home: claim.Home, Version: claim.Base + 1}
+			homes[claim.Slot] = VersionedOwner{Owner: claim.Owner, Version: claim.Base + 1}
 		}
 		total += len(claims)
 	}
 }
 
 func TestSlotsAreSharedEvenly(t *testing.T) {
-	homes := Homes{}
+	homes := Owners{}
 	counts := map[burdockid.Upstream]int{}
 	for _, u := range members {
 		counts[u] = claimAll(claimer(u, "1"), 0, 0, homes)
@@ -56,7 +56,7 @@
 // VM may be frozen and wake. Only the process that follows it on the same VM
 // takes its slots, and says that it has no memory from before.
 func TestSilentHomeKeepsItsSlots(t *testing.T) {
-	homes := Homes{}
+	homes := Owners{}
 	a := claimer("a", "1")
 	claimAll(a, 0, 0, homes)
 	claimAll(a, burdockclock.Hour, 0, homes) // the others never took their turns
@@ -69,7 +69,7 @@
 	before := homes[0]
 	claimAll(claimer("a", "2"), 0, 777, homes)
 	after := homes[0]
-	if before.Upstream != "a" || after.Incarnation != "2" || after.SinceMillis != 777 {
+	if before.Upstream != "a" || after.Incarnation != "2" || after.CompleteSince != 777 {
 		t.Errorf("home after the restart: got %+v, want incarnation 2 since 777", after)
 	}
 }
@@ -77,9 +77,9 @@
 // Operators take a home out of the fleet: its VM is gone. Its slots wait until
 // it must have stopped granting, should it still run, and then get new homes.
 func TestRemovedHomeIsReplacedAfterTheGrace(t *testing.T) {
-	homes := Homes{}
+	homes := Owners{}
 	for slot := range burdockledger.Slot(burdockledger.SlotCount) {
-		homes[slot] = Versioned{Home: Home{Upstream: "removed", Incarnation: "1"}, Version: 4}
+		homes[slot] = VersionedOwner{Owner: Owner{Upstream: "removed", Incarnation: "1"}, Version: 4}
 	}
 	a := claimer("a", "1")
 	for _, boot := range []burdockclock.Millis{0, goneGrace - 1} {
@@ -88,7 +88,7 @@
 		}
 	}
 	claims := a.Claims(goneGrace, 99, homes, members)
-	if len(claims) == 0 || claims[0].Base != 4 || claims[0].Home.SinceMillis != 99 {
+	if len(claims) == 0 || claims[0].Base != 4 || claims[0].Owner.CompleteSince != 99 {
 		t.Errorf("claims after the grace: got %+v, want some on version 4 since 99", claims)
 	}
 }
@@ -122,10 +122,10 @@
 func TestRankFollowsTheMembers(t *testing.T) {
 	order := Order(service, 0, members)
 	second := claimer(order[1], "1")
-	if got := second.Claims(0, 0, Homes{}, order); hasSlot(got, 0) {
+	if got := second.Claims(0, 0, Owners{}, order); hasSlot(got, 0) {
 		t.Fatalf("claims in the turn of another: got %v, want none of slot 0", got)
 	}
-	if got := second.Claims(1, 1, Homes{}, order[1:]); !hasSlot(got, 0) {
+	if got := second.Claims(1, 1, Owners{}, order[1:]); !hasSlot(got, 0) {
 		t.Errorf("claims when the other has left: got %v, want one of slot 0", got)
 	}
 }
@@ -135,13 +135,13 @@
 }
 
 func TestParseRoundTrip(t *testing.T) {
-	want := Home{Upstream: "a", Incarnation: "1", SinceMillis: 5, From: "0"}
+	want := Owner{Upstream: "a", Incarnation: "1", CompleteSince: 5, HandedOverBy: "0"}
 	value, err := Encode(want)
 	if err != nil {
 		t.Fatalf("Encode: %v", err)
 	}
 	svc, slot, got, err := Parse(burdockconfig.Entry{Key: Key(service, 17), Version: 3, Value: value})
-	if err != nil || svc != service || slot != 17 || got.Home != want || got.Version != 3 {
+	if err != nil || svc != service || slot != 17 || got.Owner != want || got.Version != 3 {
 		t.Errorf("Parse = %s %d %+v %v, want %s 17 %+v", svc, slot, got, err, service, want)
 	}
 	for _, key := range []string{"keyHome/x", "keyHome/x/-1", "keyHome/x/256", "keyHome/x/y"} {
--- a/internal/state/burdockhome/fuzz_test.go
+++ b/internal/state/burdockhome/fuzz_test.go
@@ -21,8 +21,8 @@
 		if got := Key(service, slot); got != key {
 			t.Errorf("the entry %q stands for the slot of %q", key, got)
 		}
-		if home.Upstream == "" || home.Incarnation == "" || home.SinceMillis < 0 {
-			t.Errorf("got home %+v, want a name, an incarnation and no time below 0", home.Home)
+		if home.Upstream == "" || home.Incarnation == "" || home.CompleteSince < 0 {
+			t.Errorf("got home %+v, want a name, an incarnation and no time below 0", home.Owner)
 		}
 	})
 }
--- a/internal/state/burdockhome/home.go
+++ b/internal/state/burdockhome/home.go
@@ -26,26 +26,26 @@
 // Prefix is where the homes lie in the configuration.
 const Prefix = "keyHome/"
 
-// Home is the home of one slot.
-type Home struct {
+// Owner is the home of one slot.
+type Owner struct {
 	Upstream    burdockid.Upstream    `json:"upstream"`
 	Incarnation burdockid.Incarnation `json:"incarnation"`
-	// SinceMillis is the instant, on the wall clock, from which on the home's
+	// CompleteSince is the instant, on the wall clock, from which on the home's
 	// ledger holds every run of the slot's keys; 0 for the first home.
-	SinceMillis burdockclock.Millis `json:"sinceMillis"`
-	// From is the incarnation that handed its memory over; empty when the home
+	CompleteSince burdockclock.Millis `json:"sinceMillis"`
+	// HandedOverBy is the incarnation that handed its memory over; empty when the home
 	// took over without one.
-	From burdockid.Incarnation `json:"from,omitempty"`
+	HandedOverBy burdockid.Incarnation `json:"from,omitempty"`
 }
 
-// Versioned is a home with the version of its configuration entry.
-type Versioned struct {
-	Home
+// VersionedOwner is a home with the version of its configuration entry.
+type VersionedOwner struct {
+	Owner
 	Version burdockid.Version
 }
 
-// Homes are the homes of one service's slots.
-type Homes map[burdockledger.Slot]Versioned
+// Owners are the homes of one service's slots.
+type Owners map[burdockledger.Slot]VersionedOwner
 
 // Key returns the configuration key of a slot's home.
 func Key(service burdockid.Service, slot burdockledger.Slot) string {
@@ -53,27 +53,27 @@
 }
 
 // Parse reads the home in a configuration entry.
-func Parse(e burdockconfig.Entry) (burdockid.Service, burdockledger.Slot, Versioned, error) {
+func Parse(e burdockconfig.Entry) (burdockid.Service, burdockledger.Slot, VersionedOwner, error) {
 	service, number, ok := strings.Cut(strings.TrimPrefix(e.Key, Prefix), "/")
 	slot, err := strconv.Atoi(number)
 	// A slot has one key. Were 017 taken for 17, two entries would name its home,
 	// and processes that read them in different order would differ.
 	canonical := Key(burdockid.Service(service), burdockledger.Slot(slot)) == e.Key
 	if !ok || err != nil || slot < 0 || slot >= burdockledger.SlotCount || !canonical {
-		return "", 0, Versioned{}, burdockconfig.ErrMalformed.New("no slot in key %q", e.Key)
+		return "", 0, VersionedOwner{}, burdockconfig.ErrMalformed.New("no slot in key %q", e.Key)
 	}
-	home := Versioned{Version: e.Version}
-	if err := json.Unmarshal(e.Value, &home.Home); err != nil {
-		return "", 0, Versioned{}, burdockconfig.ErrMalformed.Wrap(err, "%s", e.Key)
+	home := VersionedOwner{Version: e.Version}
+	if err := json.Unmarshal(e.Value, &home.Owner); err != nil {
+		return "", 0, VersionedOwner{}, burdockconfig.ErrMalformed.Wrap(err, "%s", e.Key)
 	}
-	if home.Upstream == "" || home.Incarnation == "" || home.SinceMillis < 0 {
-		return "", 0, Versioned{}, burdockconfig.ErrMalformed.New("%s: no home in the value", e.Key)
+	if home.Upstream == "" || home.Incarnation == "" || home.CompleteSince < 0 {
+		return "", 0, VersionedOwner{}, burdockconfig.ErrMalformed.New("%s: no home in the value", e.Key)
 	}
 	return burdockid.Service(service), burdockledger.Slot(slot), home, nil
 }
 
 // Encode returns the value of a home's configuration entry.
-func Encode(h Home) ([]byte, error) { return json.Marshal(h) }
+func Encode(h Owner) ([]byte, error) { return json.Marshal(h) }
 
 // Rank returns the place of an upstream among the members in the order that a
 // slot prefers, from 0. Every process comes to the same order.
--- a/internal/state/burdocksite/site.go
+++ b/internal/state/burdocksite/site.go
@@ -43,20 +43,20 @@
 	// Objective is the time in which an answer, or the first event of a
 	// stream, should come.
 	Objective burdockclock.Millis
-	// Gap is the longest pause between events of a stream that callers accept;
+	// MaxEventGap is the longest pause between events of a stream that callers accept;
 	// 0 for a route that has no streams.
-	Gap burdockclock.Millis
-	// Patience is how long callers wait for the first event of a stream, or for
+	MaxEventGap burdockclock.Millis
+	// EventTimeout is how long callers wait for the first event of a stream, or for
 	// the next; 0 if they wait until their deadline.
-	Patience burdockclock.Millis
+	EventTimeout burdockclock.Millis
 	// Priority orders routes by urgency; 0 is the most urgent.
 	Priority int
 	Repeat   Repeat
 	Stream   bool
 	// Resumable streams may go on at another upstream after their last event.
 	Resumable bool
-	// Attempts is the number of upstreams that one request may be offered to.
-	Attempts int
+	// MaxAttempts is the number of upstreams that one request may be offered to.
+	MaxAttempts int
 	// Public routes take requests without a key.
 	Public bool
 	Shares []Share
@@ -70,31 +70,31 @@
 type Engine struct {
 	// Slots is the number of requests that one engine runs at a time.
 	Slots int
-	// Stride is the number of token steps in one pass.
-	Stride int
-	// StepMillis, SequenceMillis and ContextMillis make up a token step: its
+	// StepsPerEvent is the number of token steps in one pass.
+	StepsPerEvent int
+	// BaseStepMillis, SequenceMillis and ContextMillis make up a token step: its
 	// fixed part, the part for each running request, and the part for each
 	// thousand tokens of a running request's context.
-	StepMillis     float64
-	SequenceMillis float64
-	ContextMillis  float64
-	// ReadRate is the number of prompt tokens read in a millisecond.
-	ReadRate float64
+	BaseStepMillis              float64
+	StepMillisPerRequest        float64
+	StepMillisPerThousandTokens float64
+	// PrefillRate is the number of prompt tokens read in a millisecond.
+	PrefillRate float64
 	// Layers, Experts and Places are the shape of an expert map: sets of
 	// layers, experts in each, and experts that one rank has room for.
-	Layers  int
-	Experts int
-	Places  int
-	// Spare is the number of new experts of one layer that a rank can take up
+	Layers      int
+	Experts     int
+	ExpertSlots int
+	// MaxLoads is the number of new experts of one layer that a rank can take up
 	// beside those in use.
-	Spare       int
+	MaxLoads    int
 	ExpertBytes burdockid.Bytes
 	CopyRate    burdockid.BytesPerSecond
 	// ExpertShare is the part of the work for tokens that experts do.
 	ExpertShare float64
-	// UsualPrompt and UsualAnswer are mean lengths.
-	UsualPrompt burdockid.Tokens
-	UsualAnswer burdockid.Tokens
+	// MeanPromptTokens and UsualAnswer are mean lengths.
+	MeanPromptTokens burdockid.Tokens
+	MeanAnswerTokens burdockid.Tokens
 }
 
 // Service is a group of upstreams that do the same work.
@@ -140,13 +140,13 @@
 	Slots      int
 	// Leaving upstreams finish what they have and take nothing new.
 	Leaving bool
-	// Created orders upstreams by when their records were first written; 0 if that
+	// CreateRevision orders upstreams by when their records were first written; 0 if that
 	// isn't known.
-	Created Order
+	CreateRevision Revision
 }
 
-// Order numbers events of the platform's store. It only grows.
-type Order int64
+// Revision numbers events of the platform's store. It only grows.
+type Revision int64
 
 // Snapshot is what is known at one instant. It is never changed once it can be
 // seen.
@@ -165,13 +165,13 @@
 // made to a process that is gone, and are refused by the one that has taken its
 // address. One address has one process, so the record that came last stands.
 func (s *Snapshot) Members(service burdockid.Service) []Upstream {
-	latest := map[string]Order{}
+	latest := map[string]Revision{}
 	for _, u := range s.Upstreams {
-		latest[u.Address] = max(latest[u.Address], u.Created)
+		latest[u.Address] = max(latest[u.Address], u.CreateRevision)
 	}
 	var members []Upstream
 	for _, u := range s.Upstreams {
-		if u.Service == service && !u.Leaving && u.Created >= latest[u.Address] {
+		if u.Service == service && !u.Leaving && u.CreateRevision >= latest[u.Address] {
 			members = append(members, u)
 		}
 	}
--- a/internal/state/burdocksite/site_test.go
+++ b/internal/state/burdocksite/site_test.go
@@ -43,11 +43,11 @@
 // lapse: the one that has taken its address refuses them.
 func TestAddressHasOneMember(t *testing.T) {
 	s := New()
-	s.PutUpstream(Upstream{ID: "new", Service: "s", Address: "10.1.0.1:80", Created: 7})
-	s.PutUpstream(Upstream{ID: "old", Service: "s", Address: "10.1.0.1:80", Created: 3})
-	s.PutUpstream(Upstream{ID: "other", Service: "s", Address: "10.1.0.2:80", Created: 1})
-	s.PutUpstream(Upstream{ID: "reused", Service: "s", Address: "10.1.0.3:80", Created: 2})
-	s.PutUpstream(Upstream{ID: "reuser", Service: "another", Address: "10.1.0.3:80", Created: 5})
+	s.PutUpstream(Upstream{ID: "new", Service: "s", Address: "10.1.0.1:80", CreateRevision: 7})
+	s.PutUpstream(Upstream{ID: "old", Service: "s", Address: "10.1.0.1:80", CreateRevision: 3})
+	s.PutUpstream(Upstream{ID: "other", Service: "s", Address: "10.1.0.2:80", CreateRevision: 1})
+	s.PutUpstream(Upstream{ID: "reused", Service: "s", Address: "10.1.0.3:80", CreateRevision: 2})
+	s.PutUpstream(Upstream{ID: "reuser", Service: "another", Address: "10.1.0.3:80", CreateRevision: 5})
 	var got []string
 	for _, u := range s.Now().Members("s") {
 		got = append(got, string(u.ID))
