--- a/internal/state/burdockfleet/fleet.go
+++ b/internal/state/burdockfleet/fleet.go
@@ -1,6 +1,6 @@
-// Package burdockfleet turns the configuration's entries into what requests
-// are served by: services, their profiles, upstreams, customers. Readers get
-// an immutable snapshot without a lock.
+// Package burdockfleet decodes the entries of the configuration into services, profiles,
+// upstreams, customers and key owners, with lookup maps for serving requests. Readers
+// get an immutable snapshot without a lock.
 package burdockfleet
 
 import (
@@ -18,8 +18,8 @@
 	"burdockbend.example/burdockbend/internal/state/burdockhome"
 )
 
-// Snapshot is the fleet at one digest of the configuration. It is never
-// changed once it can be seen.
+// Snapshot is the fleet according to one state of the configuration. It is immutable
+// once published.
 type Snapshot struct {
 	Digest    burdockconfig.Digest
 	Profiles  map[burdockid.Profile]burdockprofile.Profile
@@ -29,18 +29,18 @@
 	Entries   map[burdockid.VM]burdockmember.Entry
 	// KeyOwners are the homes of idempotency keys, by service.
 	KeyOwners map[burdockid.Service]burdockhome.Owners
-	// ByModel finds the service behind a model's name.
+	// ByModel maps the name of a model to its service.
 	ByModel map[string]burdockid.Service
-	// ByKeyHash finds the customer behind the hash of a key.
+	// ByKeyHash maps the hash of an API key to its customer.
 	ByKeyHash map[string]burdockid.Customer
-	// Routes are those of all plain services, the longest prefix first.
+	// Routes are the routes of all plain services, longest prefix first.
 	Routes []Route
-	// Members are the upstreams of each service, by name.
+	// Members has the upstreams of each service, sorted by name.
 	Members map[burdockid.Service][]burdockmember.Upstream
 }
 
-// Profile returns the profile that a service runs under. Until it is known,
-// the defaults hold: work without a profile is better served than refused.
+// Profile returns the profile of a service. If the profile is unknown, the defaults
+// apply, because serving requests with defaults is better than refusing them.
 func (s *Snapshot) Profile(service burdockid.Service) burdockprofile.Profile {
 	p, ok := s.Profiles[s.Services[service].Profile]
 	if !ok {
@@ -58,47 +58,49 @@
 
 const defaultClass = "default"
 
-// Fleet follows a configuration view.
+// Fleet holds the latest snapshot of the fleet and updates it with each change of a
+// configuration view.
 type Fleet struct {
 	current  atomic.Pointer[Snapshot]
 	findings atomic.Pointer[burdockfinding.List]
-	broken   map[string]error // entries that can't be read; used by apply alone
+	invalid  map[string]error // by key of the entry; used by apply only
 }
 
-// Follow returns a Fleet that follows view from now on. It must be called
-// before the view's first merge.
+// Follow returns a Fleet that follows view. It must be called before the view's first
+// merge.
 func Follow(view *burdockconfig.View) *Fleet {
-	f := &Fleet{broken: map[string]error{}}
+	f := &Fleet{invalid: map[string]error{}}
 	f.current.Store(&Snapshot{})
 	f.findings.Store(&burdockfinding.List{})
 	view.Subscribe(f.apply)
 	return f
 }
 
-// Now returns the fleet as it is known now.
+// Now returns the current snapshot.
 func (f *Fleet) Now() *Snapshot { return f.current.Load() }
 
-// Findings returns the entries that could not be read. The rest is in force.
+// Findings returns a finding for each entry that can't be decoded. All other entries are
+// in force.
 func (f *Fleet) Findings() []burdockfinding.Finding { return f.findings.Load().All() }
 
-// apply is called by the view, one merge at a time.
+// apply publishes a new snapshot. The view calls it after each merge, one call at a time.
 func (f *Fleet) apply(changed []burdockconfig.Entry, digest burdockconfig.Digest) {
 	next := f.Now().clone()
 	next.Digest = digest
 	for _, e := range changed {
-		delete(f.broken, e.Key)
+		delete(f.invalid, e.Key)
 		if err := next.put(e); err != nil {
-			f.broken[e.Key] = err
+			f.invalid[e.Key] = err
 		}
 	}
 	next.index()
-	f.report()
+	f.updateFindings()
 	f.current.Store(next)
 }
 
-func (f *Fleet) report() {
+func (f *Fleet) updateFindings() {
 	var findings burdockfinding.List
-	for key, err := range f.broken {
+	for key, err := range f.invalid {
 		findings.Add(burdockfinding.Finding{Key: key, What: err.Error()})
 	}
 	f.findings.Store(&findings)
@@ -122,8 +124,8 @@
 	return maps.Clone(m)
 }
 
-// put takes in one entry. An entry that can't be read leaves what was there:
-// a newer release may write what this one doesn't know.
+// put applies one entry. If the entry can't be decoded, for example because a newer
+// release wrote it, the previous value stays.
 func (s *Snapshot) put(e burdockconfig.Entry) error {
 	kind, name, _ := strings.Cut(e.Key, "/")
 	switch kind + "/" {
@@ -138,22 +140,22 @@
 	case burdockentity.EntryPrefix:
 		return set(s.Entries, burdockid.VM(name), e)
 	case burdockhome.Prefix:
-		return s.putHome(e)
+		return s.putKeyOwner(e)
 	default:
-		return nil // a kind for other readers
+		return nil // not used by the fleet
 	}
 }
 
-// putHome takes in the home of one slot. The map of a service is shared with
+// putKeyOwner applies the owner of one slot. The map of the service is shared with
 // earlier snapshots, so it is copied.
-func (s *Snapshot) putHome(e burdockconfig.Entry) error {
-	service, slot, home, err := burdockhome.Parse(e)
+func (s *Snapshot) putKeyOwner(e burdockconfig.Entry) error {
+	service, slot, owner, err := burdockhome.Parse(e)
 	if err != nil {
 		return err
 	}
-	homes := clone(s.KeyOwners[service])
-	homes[slot] = home
-	s.KeyOwners[service] = homes
+	owners := clone(s.KeyOwners[service])
+	owners[slot] = owner
+	s.KeyOwners[service] = owners
 	return nil
 }
 
--- a/internal/state/burdockfleet/index.go
+++ b/internal/state/burdockfleet/index.go
@@ -8,13 +8,13 @@
 	"burdockbend.example/burdockbend/internal/config/burdockmember"
 )
 
-// Route is one route and the plain service that it leads to.
+// Route is a route of a plain service.
 type Route struct {
 	burdockmember.Route
 	Service burdockid.Service
 }
 
-// index derives the maps that requests are looked up in.
+// index builds the lookup maps and lists of the snapshot.
 func (s *Snapshot) index() {
 	s.ByModel = map[string]burdockid.Service{}
 	s.ByKeyHash = map[string]burdockid.Customer{}
@@ -45,8 +45,8 @@
 	})
 }
 
-// Route returns the route of a call to a plain service. A path that an upstream
-// could take for another has none, see burdockmember.Fleet.FindRoute.
+// Route returns the route of a request to a plain service. A path that an upstream could
+// interpret as another one has no route, see burdockmember.Fleet.FindRoute.
 func (s *Snapshot) Route(method, path string) (Route, bool) {
 	if !burdockmember.IsClean(path) {
 		return Route{}, false
