--- a/internal/state/burdockhome/claim.go
+++ b/internal/state/burdockhome/claim.go
@@ -9,114 +9,115 @@
 )
 
 const (
-	// turn is how long each agent leaves a slot without a home to those that
-	// the slot prefers.
-	turn = 5 * burdockclock.Second
-	// goneGrace is how long a slot is left alone after operators took its home
-	// out of the fleet. Within it the old home, should it still run, hears of
-	// that, or finds itself cut off and stops granting (see
-	// burdocksync.Source.Verified). It must be longer than that takes.
-	goneGrace = 30 * burdockclock.Second
-	// claimsAtOnce bounds what one agent writes at a time. At the first start of
-	// a service its agents write 256 homes in all.
-	claimsAtOnce = 16
+	// claimDelay is the time that an agent gives each agent before it in a slot's
+	// order of preference to claim a slot without an owner.
+	claimDelay = 5 * burdockclock.Second
+	// removedGrace is the time after which a slot whose owner was removed from the
+	// fleet is claimed. If the removed owner still runs, it receives the change within
+	// this time, or detects that it is disconnected and stops running requests with
+	// keys (see burdocksync.Source.Verified). The value must be longer than that takes.
+	removedGrace = 30 * burdockclock.Second
+	// maxClaims is the maximum number of claims that one agent writes at a time. At
+	// the first start of a service its agents claim 256 slots in total.
+	maxClaims = 16
 )
 
-// Self is the agent that decides.
+// Self identifies the agent that claims slots.
 type Self struct {
 	Service     burdockid.Service
 	Upstream    burdockid.Upstream
 	Incarnation burdockid.Incarnation
 }
 
-// Claim is a slot that the agent should write its name on.
+// Claim is a slot that the agent should claim by writing Owner to the configuration.
+// Base is the version of the entry that it replaces, and 0 if there is none.
 type Claim struct {
 	Slot  burdockledger.Slot
 	Base  burdockid.Version
 	Owner Owner
 }
 
-// Claimer decides which slots an agent claims.
+// Claimer determines which slots an agent claims. It is not safe for concurrent use.
 type Claimer struct {
 	self Self
-	// without is since when each slot was seen without a home that counts, on
-	// the boot clock.
-	without map[burdockledger.Slot]burdockclock.Millis
-	// ranks holds this agent's rank in the order of the slots that were without
-	// a home, among members.
+	// ownerlessSince is the boot-clock time at which each slot was first found to have
+	// no owner among the members.
+	ownerlessSince map[burdockledger.Slot]burdockclock.Millis
+	// ranks caches this agent's rank for the slots that had no owner. It is valid for
+	// members.
 	ranks   map[burdockledger.Slot]int
 	members []burdockid.Upstream
 }
 
-// NewClaimer returns a claimer for one agent.
+// NewClaimer returns a Claimer for one agent.
 func NewClaimer(self Self) *Claimer {
 	return &Claimer{
-		self:    self,
-		without: map[burdockledger.Slot]burdockclock.Millis{},
-		ranks:   map[burdockledger.Slot]int{},
+		self:           self,
+		ownerlessSince: map[burdockledger.Slot]burdockclock.Millis{},
+		ranks:          map[burdockledger.Slot]int{},
 	}
 }
 
-// Claims returns what to claim now. Members are the upstreams of the service.
-// boot counts spans; wall is what goes into the configuration.
+// Claims returns the slots to claim now. members are the upstreams of the service. Delays
+// are measured with boot, and wall is written to the configuration.
 //
-// Load: agents are replaced 1,200 times a day at the design's size. Harm
-// prevented: two homes of one slot. A home that may still run keeps its slots,
-// however silent it is: a frozen VM can wake.
-func (c *Claimer) Claims(boot, wall burdockclock.Millis, homes Owners, members []burdockid.Upstream) []Claim {
+// At the design's size agents are replaced 1,200 times a day. A slot must never have two
+// owners, because a request could then run twice. An owner that may still run therefore
+// keeps its slots however long it is unresponsive: its VM may be frozen and resume.
+func (c *Claimer) Claims(boot, wall burdockclock.Millis, owners Owners, members []burdockid.Upstream) []Claim {
 	if !slices.Contains(members, c.self.Upstream) {
 		return nil
 	}
 	var claims []Claim
 	for slot := range burdockledger.Slot(burdockledger.SlotCount) {
-		claim, ok := c.claim(boot, wall, slot, homes, members)
+		claim, ok := c.claim(boot, wall, slot, owners, members)
 		if ok {
 			claims = append(claims, claim)
 		}
-		if len(claims) == claimsAtOnce {
+		if len(claims) == maxClaims {
 			break
 		}
 	}
 	return claims
 }
 
-func (c *Claimer) claim(boot, wall burdockclock.Millis, slot burdockledger.Slot, homes Owners, members []burdockid.Upstream) (Claim, bool) {
-	current, known := homes[slot]
+func (c *Claimer) claim(boot, wall burdockclock.Millis, slot burdockledger.Slot, owners Owners, members []burdockid.Upstream) (Claim, bool) {
+	current, known := owners[slot]
 	next := Owner{Upstream: c.self.Upstream, Incarnation: c.self.Incarnation}
 	switch {
 	case !known:
-		// Nobody was ever its home, so no key of it has run.
-		return Claim{Slot: slot, Owner: next}, c.waited(boot, slot, members) >= 0
+		// The slot never had an owner, so none of its keys has run.
+		return Claim{Slot: slot, Owner: next}, c.overdue(boot, slot, members) >= 0
 	case current.Upstream == c.self.Upstream && current.Incarnation != c.self.Incarnation:
-		// The process before this one on the same slot of the VM. It is gone, and
-		// its memory with it.
+		// The owner is the previous process of this upstream. It has ended, and its
+		// ledger is lost.
 		next.CompleteSince = wall
 		return Claim{Slot: slot, Base: current.Version, Owner: next}, true
 	case !slices.Contains(members, current.Upstream):
 		next.CompleteSince = wall
-		return Claim{Slot: slot, Base: current.Version, Owner: next}, c.waited(boot, slot, members) >= goneGrace
+		return Claim{Slot: slot, Base: current.Version, Owner: next}, c.overdue(boot, slot, members) >= removedGrace
 	default:
-		delete(c.without, slot)
+		delete(c.ownerlessSince, slot)
 		return Claim{}, false
 	}
 }
 
-// waited returns how long the slot has been left to the agents that it
-// prefers beyond their turns; negative while it is still their turn.
-func (c *Claimer) waited(boot burdockclock.Millis, slot burdockledger.Slot, members []burdockid.Upstream) burdockclock.Millis {
-	since, ok := c.without[slot]
+// overdue returns the time since this agent's turn to claim an ownerless slot began. It
+// is negative while agents that the slot prefers still have time to claim it.
+func (c *Claimer) overdue(boot burdockclock.Millis, slot burdockledger.Slot, members []burdockid.Upstream) burdockclock.Millis {
+	since, ok := c.ownerlessSince[slot]
 	if !ok {
 		since = boot
-		c.without[slot] = boot
+		c.ownerlessSince[slot] = boot
 	}
-	return boot - since - burdockclock.Millis(c.rank(slot, members))*turn
+	return boot - since - burdockclock.Millis(c.rank(slot, members))*claimDelay
 }
 
-// rank returns the agent's rank in the order of a slot.
+// rank returns the agent's rank in the slot's order of preference.
 //
-// Load: at the first start of a service of 633 replicas each agent looks at 256
-// slots without a home, twice a second. Harm prevented: 162,000 hashes in each
-// of these rounds. A rank changes only with the members, so it is taken once.
+// At the first start of a service of 633 replicas each agent checks 256 ownerless slots
+// twice a second. Without the cache that takes 162,000 hashes each time. A rank changes
+// only with the members.
 func (c *Claimer) rank(slot burdockledger.Slot, members []burdockid.Upstream) int {
 	if !slices.Equal(c.members, members) {
 		c.members = slices.Clone(members)
--- a/internal/state/burdockhome/claim_test.go
+++ b/internal/state/burdockhome/claim_test.go
@@ -17,85 +17,86 @@
 
 var members = []burdockid.Upstream{"a", "b", "c"}
 
-func claimer(u burdockid.Upstream, inc burdockid.Incarnation) *Claimer {
+func newClaimer(u burdockid.Upstream, inc burdockid.Incarnation) *Claimer {
 	return NewClaimer(Self{Service: service, Upstream: u, Incarnation: inc})
 }
 
-// claimAll lets a claimer write until it wants nothing more.
-func claimAll(c *Claimer, boot, wall burdockclock.Millis, homes Owners) int {
+// claimAll applies the claims of c until there are none, and returns their number.
+func claimAll(c *Claimer, boot, wall burdockclock.Millis, owners Owners) int {
 	total := 0
 	for {
-		claims := c.Claims(boot, wall, homes, members)
+		claims := c.Claims(boot, wall, owners, members)
 		if len(claims) == 0 {
 			return total
 		}
 		for _, claim := range claims {
-			homes[claim.Slot] = VersionedOwner{Owner: claim.Owner, Version: claim.Base + 1}
+			owners[claim.Slot] = VersionedOwner{Owner: claim.Owner, Version: claim.Base + 1}
 		}
 		total += len(claims)
 	}
 }
 
-func TestSlotsAreSharedEvenly(t *testing.T) {
-	homes := Owners{}
+func TestSlotsAreDistributedEvenly(t *testing.T) {
+	owners := Owners{}
 	counts := map[burdockid.Upstream]int{}
 	for _, u := range members {
-		counts[u] = claimAll(claimer(u, "1"), 0, 0, homes)
+		counts[u] = claimAll(newClaimer(u, "1"), 0, 0, owners)
 	}
-	if got, want := len(homes), burdockledger.SlotCount; got != want {
-		t.Fatalf("slots with a home: got %d, want %d", got, want)
+	if got, want := len(owners), burdockledger.SlotCount; got != want {
+		t.Fatalf("slots with an owner: got %d, want %d", got, want)
 	}
 	for u, n := range counts {
 		if n < burdockledger.SlotCount/len(members)/2 {
-			t.Errorf("%s is the home of %d of %d slots, want a fair part", u, n, burdockledger.SlotCount)
+			t.Errorf("%s owns %d of %d slots, want a fair share", u, n, burdockledger.SlotCount)
 		}
 	}
 }
 
-// A caller's key stays with a home that is silent, for as long as it is: the
-// VM may be frozen and wake. Only the process that follows it on the same VM
-// takes its slots, and says that it has no memory from before.
-func TestSilentHomeKeepsItsSlots(t *testing.T) {
-	homes := Owners{}
-	a := claimer("a", "1")
-	claimAll(a, 0, 0, homes)
-	claimAll(a, burdockclock.Hour, 0, homes) // the others never took their turns
-	b := claimer("b", "1")
+// An unresponsive owner keeps its slots, because its VM may be frozen and resume. Only
+// the next process of the same upstream takes them over, and records in CompleteSince
+// that it has no ledger records from before.
+func TestUnresponsiveOwnerKeepsItsSlots(t *testing.T) {
+	owners := Owners{}
+	a := newClaimer("a", "1")
+	claimAll(a, 0, 0, owners)
+	claimAll(a, burdockclock.Hour, 0, owners) // the other agents claimed nothing
+	b := newClaimer("b", "1")
 	for boot := burdockclock.Millis(0); boot < burdockclock.Hour; boot += burdockclock.Minute {
-		if got := claimAll(b, boot, boot, homes); got != 0 {
-			t.Fatalf("claims against a silent home: got %d, want 0", got)
+		if got := claimAll(b, boot, boot, owners); got != 0 {
+			t.Fatalf("claims of slots of an unresponsive owner: got %d, want 0", got)
 		}
 	}
-	before := homes[0]
-	claimAll(claimer("a", "2"), 0, 777, homes)
-	after := homes[0]
+	before := owners[0]
+	claimAll(newClaimer("a", "2"), 0, 777, owners)
+	after := owners[0]
 	if before.Upstream != "a" || after.Incarnation != "2" || after.CompleteSince != 777 {
-		t.Errorf("home after the restart: got %+v, want incarnation 2 since 777", after)
+		t.Errorf("owner after the restart: got %+v, want incarnation 2 and complete since 777", after)
 	}
 }
 
-// Operators take a home out of the fleet: its VM is gone. Its slots wait until
-// it must have stopped granting, should it still run, and then get new homes.
-func TestRemovedHomeIsReplacedAfterTheGrace(t *testing.T) {
-	homes := Owners{}
+// Operators remove an owner from the fleet because its VM no longer exists. Its slots
+// are claimed only after the grace period, in which the owner stops running requests if
+// it still exists.
+func TestRemovedOwnerIsReplacedAfterGracePeriod(t *testing.T) {
+	owners := Owners{}
 	for slot := range burdockledger.Slot(burdockledger.SlotCount) {
-		homes[slot] = VersionedOwner{Owner: Owner{Upstream: "removed", Incarnation: "1"}, Version: 4}
+		owners[slot] = VersionedOwner{Owner: Owner{Upstream: "removed", Incarnation: "1"}, Version: 4}
 	}
-	a := claimer("a", "1")
-	for _, boot := range []burdockclock.Millis{0, goneGrace - 1} {
-		if got := len(a.Claims(boot, boot, homes, members)); got != 0 {
+	a := newClaimer("a", "1")
+	for _, boot := range []burdockclock.Millis{0, removedGrace - 1} {
+		if got := len(a.Claims(boot, boot, owners, members)); got != 0 {
 			t.Errorf("claims at %d: got %d, want 0", boot, got)
 		}
 	}
-	claims := a.Claims(goneGrace, 99, homes, members)
+	claims := a.Claims(removedGrace, 99, owners, members)
 	if len(claims) == 0 || claims[0].Base != 4 || claims[0].Owner.CompleteSince != 99 {
-		t.Errorf("claims after the grace: got %+v, want some on version 4 since 99", claims)
+		t.Errorf("claims after the grace period: got %+v, want some on version 4, complete since 99", claims)
 	}
 }
 
-// The order of a slot must be the one that agents with another release know:
-// agents that disagree would hand a slot back and forth.
-func TestOrderAgreesWithRankAndIsKept(t *testing.T) {
+// The order of preference must be the same in all releases. Agents that disagree about
+// it hand a slot back and forth.
+func TestOrderAgreesWithRankAndIsStable(t *testing.T) {
 	var many []burdockid.Upstream
 	for i := range 633 {
 		many = append(many, burdockid.Upstream(fmt.Sprintf("replica-with-a-long-name-%d", i)))
@@ -116,17 +117,16 @@
 	}
 }
 
-// An upstream that a slot prefers leaves the fleet while the slot has no home.
-// The agent that is next must not go on waiting for the turn of the one that
-// left.
-func TestRankFollowsTheMembers(t *testing.T) {
+// An upstream that a slot prefers leaves the fleet while the slot has no owner. The next
+// agent in the order must not wait for it any longer.
+func TestRankChangesWithMembers(t *testing.T) {
 	order := Order(service, 0, members)
-	second := claimer(order[1], "1")
+	second := newClaimer(order[1], "1")
 	if got := second.Claims(0, 0, Owners{}, order); hasSlot(got, 0) {
-		t.Fatalf("claims in the turn of another: got %v, want none of slot 0", got)
+		t.Fatalf("claims during the turn of another agent: got %v, want none of slot 0", got)
 	}
 	if got := second.Claims(1, 1, Owners{}, order[1:]); !hasSlot(got, 0) {
-		t.Errorf("claims when the other has left: got %v, want one of slot 0", got)
+		t.Errorf("claims after the other agent left: got %v, want one of slot 0", got)
 	}
 }
 
--- a/internal/state/burdockhome/home.go
+++ b/internal/state/burdockhome/owner.go
@@ -1,11 +1,11 @@
-// Package burdockhome says which agent is the home of which idempotency keys.
-// Each slot of a service's keys has one home, which the configuration names;
-// only the home lets a request with such a key run.
+// Package burdockhome assigns idempotency keys to agents. The keys of a service are
+// hashed to slots. Each slot has one owner, an agent, and only the owner runs requests
+// with these keys. It is recorded in the configuration, where it is called the key's home.
 //
-// A home keeps its slots without a lease: while the store is out, requests
-// with keys go on. It loses them only by handing them over itself, to its own
-// successor on the same VM, or when operators take its upstream out of the
-// fleet, which says that the VM is gone.
+// Ownership has no lease, so requests with keys are served during an outage of the store.
+// An owner loses a slot only in three cases: it hands the slot over, a new process of
+// the same upstream takes its place, or operators remove its upstream from the fleet
+// because the VM no longer exists.
 package burdockhome
 
 import (
@@ -23,74 +23,75 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Prefix is where the homes lie in the configuration.
+// Prefix is the prefix of the configuration keys of slot owners.
 const Prefix = "keyHome/"
 
-// Owner is the home of one slot.
+// Owner is the owner of one slot.
 type Owner struct {
 	Upstream    burdockid.Upstream    `json:"upstream"`
 	Incarnation burdockid.Incarnation `json:"incarnation"`
-	// CompleteSince is the instant, on the wall clock, from which on the home's
-	// ledger holds every run of the slot's keys; 0 for the first home.
+	// CompleteSince is the wall-clock time since which every run of the slot's keys
+	// is in the owner's ledger; 0 for the first owner.
 	CompleteSince burdockclock.Millis `json:"sinceMillis"`
-	// HandedOverBy is the incarnation that handed its memory over; empty when the home
-	// took over without one.
+	// HandedOverBy is the incarnation that handed over its ledger records; empty if the
+	// owner took over without them.
 	HandedOverBy burdockid.Incarnation `json:"from,omitempty"`
 }
 
-// VersionedOwner is a home with the version of its configuration entry.
+// VersionedOwner is an owner with the version of its configuration entry.
 type VersionedOwner struct {
 	Owner
 	Version burdockid.Version
 }
 
-// Owners are the homes of one service's slots.
+// Owners has the owners of one service's slots.
 type Owners map[burdockledger.Slot]VersionedOwner
 
-// Key returns the configuration key of a slot's home.
+// Key returns the configuration key of a slot's owner.
 func Key(service burdockid.Service, slot burdockledger.Slot) string {
 	return fmt.Sprintf("%s%s/%d", Prefix, service, slot)
 }
 
-// Parse reads the home in a configuration entry.
+// Parse decodes and validates the configuration entry of a slot's owner.
 func Parse(e burdockconfig.Entry) (burdockid.Service, burdockledger.Slot, VersionedOwner, error) {
 	service, number, ok := strings.Cut(strings.TrimPrefix(e.Key, Prefix), "/")
 	slot, err := strconv.Atoi(number)
-	// A slot has one key. Were 017 taken for 17, two entries would name its home,
-	// and processes that read them in different order would differ.
+	// Each slot has exactly one key. If 017 were accepted as 17, two entries could
+	// contain the slot's owner, and processes that receive them in different order
+	// would disagree.
 	canonical := Key(burdockid.Service(service), burdockledger.Slot(slot)) == e.Key
 	if !ok || err != nil || slot < 0 || slot >= burdockledger.SlotCount || !canonical {
-		return "", 0, VersionedOwner{}, burdockconfig.ErrMalformed.New("no slot in key %q", e.Key)
+		return "", 0, VersionedOwner{}, burdockconfig.ErrMalformed.New("key %q does not contain a valid slot", e.Key)
 	}
-	home := VersionedOwner{Version: e.Version}
-	if err := json.Unmarshal(e.Value, &home.Owner); err != nil {
+	owner := VersionedOwner{Version: e.Version}
+	if err := json.Unmarshal(e.Value, &owner.Owner); err != nil {
 		return "", 0, VersionedOwner{}, burdockconfig.ErrMalformed.Wrap(err, "%s", e.Key)
 	}
-	if home.Upstream == "" || home.Incarnation == "" || home.CompleteSince < 0 {
-		return "", 0, VersionedOwner{}, burdockconfig.ErrMalformed.New("%s: no home in the value", e.Key)
+	if owner.Upstream == "" || owner.Incarnation == "" || owner.CompleteSince < 0 {
+		return "", 0, VersionedOwner{}, burdockconfig.ErrMalformed.New("%s: the value contains no valid owner", e.Key)
 	}
-	return burdockid.Service(service), burdockledger.Slot(slot), home, nil
+	return burdockid.Service(service), burdockledger.Slot(slot), owner, nil
 }
 
-// Encode returns the value of a home's configuration entry.
-func Encode(h Owner) ([]byte, error) { return json.Marshal(h) }
+// Encode returns the value of the configuration entry of an owner.
+func Encode(o Owner) ([]byte, error) { return json.Marshal(o) }
 
-// Rank returns the place of an upstream among the members in the order that a
-// slot prefers, from 0. Every process comes to the same order.
+// Rank returns the position of an upstream, from 0, in the order of preference that a
+// slot has for the members. The order is the same in every process.
 func Rank(service burdockid.Service, slot burdockledger.Slot, members []burdockid.Upstream, u burdockid.Upstream) int {
-	own := candidate{u, weight(service, slot, u)}
+	self := candidate{u, weight(service, slot, u)}
 	rank := 0
 	for _, m := range members {
-		if compare(candidate{m, weight(service, slot, m)}, own) < 0 {
+		if compare(candidate{m, weight(service, slot, m)}, self) < 0 {
 			rank++
 		}
 	}
 	return rank
 }
 
-// Order returns the members in the order that a slot prefers. A leaving agent
-// asks for it once for each slot; each weight is taken once, since a slot of a
-// service of 633 replicas would else cost seconds of processor time.
+// Order returns the members in the slot's order of preference. An agent that leaves
+// calls it once for each slot. Each weight is computed only once, because otherwise the
+// order for a service of 633 replicas takes seconds of CPU time.
 func Order(service burdockid.Service, slot burdockledger.Slot, members []burdockid.Upstream) []burdockid.Upstream {
 	candidates := make([]candidate, len(members))
 	for i, m := range members {
@@ -104,13 +105,13 @@
 	return ordered
 }
 
-// candidate is a member with how much a slot prefers it.
+// candidate is a member with its weight for a slot.
 type candidate struct {
 	upstream burdockid.Upstream
 	weight   uint64
 }
 
-// compare puts the candidate that a slot prefers first.
+// compare orders candidates by preference: highest weight first, then by name.
 func compare(a, b candidate) int {
 	return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(a.upstream, b.upstream))
 }
