--- a/internal/state/burdocksite/site.go
+++ b/internal/state/burdocksite/site.go
@@ -1,7 +1,7 @@
-// Package burdocksite holds what a process knows of a site whose platform keeps
-// the routes and the membership itself: the configuration in force and the
-// upstreams that are there. An adapter decodes the platform's records into
-// these types; readers get an immutable snapshot without a lock.
+// Package burdocksite holds the state of a site whose platform stores the routes and the
+// membership itself: the current configuration and the current upstreams. An adapter
+// decodes the platform's records into these types. Readers get an immutable snapshot
+// without a lock.
 package burdocksite
 
 import (
@@ -15,106 +15,109 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// Repeat says how often a request may run.
+// Repeat tells whether a request may run more than once.
 type Repeat string
 
-// Kinds of repetition.
+// Values of Repeat.
 const (
-	// RepeatNever: the request runs once at most.
+	// RepeatNever means that the request runs at most once.
 	RepeatNever Repeat = "never"
-	// RepeatAlways: the request is idempotent.
+	// RepeatAlways means that the request is idempotent.
 	RepeatAlways Repeat = "always"
 )
 
-// Share is a part of a route's requests that goes to one service.
+// Share is the share of a route's requests that one service gets.
 type Share struct {
 	Service burdockid.Service
 	// Weight is relative to the other shares of the route.
 	Weight float64
 }
 
-// Route leads requests of one host whose path begins with a prefix to services.
+// Route assigns requests to services by their host and the prefix of their path.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
-	// Timeout is the longest time that a request may be kept waiting.
+	// Timeout is the maximum time that a request may wait.
 	Timeout burdockclock.Millis
-	// Objective is the time in which an answer, or the first event of a
-	// stream, should come.
+	// Objective is the target latency of an answer, or of the first event of a
+	// stream.
 	Objective burdockclock.Millis
-	// MaxEventGap is the longest pause between events of a stream that callers accept;
-	// 0 for a route that has no streams.
+	// MaxEventGap is the maximum time between two events of a stream that callers
+	// accept; 0 for a route without streams.
 	MaxEventGap burdockclock.Millis
-	// EventTimeout is how long callers wait for the first event of a stream, or for
-	// the next; 0 if they wait until their deadline.
+	// EventTimeout is the maximum time that callers wait for the first or the next
+	// event of a stream; 0 if they wait until their deadline.
 	EventTimeout burdockclock.Millis
-	// Priority orders routes by urgency; 0 is the most urgent.
+	// Priority is the priority of the route's requests; 0 is the most urgent.
 	Priority int
 	Repeat   Repeat
 	Stream   bool
-	// Resumable streams may go on at another upstream after their last event.
+	// Resumable means that another upstream can continue a stream after its last
+	// event.
 	Resumable bool
-	// MaxAttempts is the number of upstreams that one request may be offered to.
+	// MaxAttempts is the maximum number of upstreams that a request is offered to.
 	MaxAttempts int
-	// Public routes take requests without a key.
+	// Public means that requests need no key.
 	Public bool
 	Shares []Share
 }
 
-// Repeatable reports whether an outcome that is unknown may be followed by
-// another offer.
+// Repeatable reports whether a request may be offered to another upstream after an
+// unknown outcome.
 func (r *Route) Repeatable() bool { return r.Repeat == RepeatAlways || r.Stream && r.Resumable }
 
-// Engine is what the operators publish of the engines of a model's service.
+// Engine holds the figures that operators publish for the engines of a service.
 type Engine struct {
 	// Slots is the number of requests that one engine runs at a time.
 	Slots int
-	// StepsPerEvent is the number of token steps in one pass.
+	// StepsPerEvent is the number of token steps between two events of a stream.
 	StepsPerEvent int
-	// BaseStepMillis, SequenceMillis and ContextMillis make up a token step: its
-	// fixed part, the part for each running request, and the part for each
-	// thousand tokens of a running request's context.
+	// BaseStepMillis is the fixed part of the duration of a token step.
+	// StepMillisPerRequest is added to it for each running request, and
+	// StepMillisPerThousandTokens for each thousand tokens of context of the
+	// running requests.
 	BaseStepMillis              float64
 	StepMillisPerRequest        float64
 	StepMillisPerThousandTokens float64
-	// PrefillRate is the number of prompt tokens read in a millisecond.
+	// PrefillRate is the number of prompt tokens processed per millisecond.
 	PrefillRate float64
-	// Layers, Experts and Places are the shape of an expert map: sets of
-	// layers, experts in each, and experts that one rank has room for.
+	// Layers and Experts are the dimensions of an expert map: the number of sets of
+	// layers and the number of experts in each. ExpertSlots is the number of experts
+	// of each set that one rank has memory for.
 	Layers      int
 	Experts     int
 	ExpertSlots int
-	// MaxLoads is the number of new experts of one layer that a rank can take up
-	// beside those in use.
+	// MaxLoads is the number of new experts of one layer that a rank can load in
+	// addition to those in use.
 	MaxLoads    int
 	ExpertBytes burdockid.Bytes
 	CopyRate    burdockid.BytesPerSecond
-	// ExpertShare is the part of the work for tokens that experts do.
+	// ExpertShare is the share of the per-request step time that experts take.
 	ExpertShare float64
-	// MeanPromptTokens and UsualAnswer are mean lengths.
+	// MeanPromptTokens and MeanAnswerTokens are the mean lengths of prompts and answers.
 	MeanPromptTokens burdockid.Tokens
 	MeanAnswerTokens burdockid.Tokens
 }
 
-// Service is a group of upstreams that do the same work.
+// Service is a group of interchangeable upstreams.
 type Service struct {
 	Name burdockid.Service
 	// Engine is nil for a plain service.
 	Engine *Engine
 }
 
-// Limits bound what a caller may send.
+// Limits are the limits on requests.
 type Limits struct {
-	// BodyBytes is the size of a body; 0 if it is not told.
+	// BodyBytes is the maximum size of a request body; 0 if it is not published.
 	BodyBytes int64
 }
 
-// Customer is one customer and its keys.
+// Customer is a customer with its API keys.
 type Customer struct {
 	Name burdockid.Customer
 	Keys []string
-	// Priority goes before that of the route; nil if the customer has none.
+	// Priority overrides the priority of the route; nil if the customer has none.
 	Priority *int
 }
 
@@ -123,7 +126,7 @@
 	Version  burdockid.Version
 	Routes   []Route
 	Services map[burdockid.Service]Service
-	// Customers is empty when requests need no key.
+	// Customers is empty if requests need no key.
 	Customers []Customer
 	Limits    Limits
 
@@ -131,39 +134,38 @@
 	byKey  map[string]*Customer
 }
 
-// Upstream is one replica as the platform's membership shows it.
+// Upstream is a replica as recorded in the platform's membership.
 type Upstream struct {
 	ID         burdockid.Upstream
 	Service    burdockid.Service
 	Address    string // IP:port
 	DataCentre burdockid.DataCentre
 	Slots      int
-	// Leaving upstreams finish what they have and take nothing new.
+	// Leaving means that the upstream finishes its requests and accepts no new ones.
 	Leaving bool
-	// CreateRevision orders upstreams by when their records were first written; 0 if that
-	// isn't known.
+	// CreateRevision is the store's revision at which the record was created; 0 if
+	// unknown.
 	CreateRevision Revision
 }
 
-// Revision numbers events of the platform's store. It only grows.
+// Revision is a revision of the platform's store. It only grows.
 type Revision int64
 
-// Snapshot is what is known at one instant. It is never changed once it can be
-// seen.
+// Snapshot is the state of the site at one instant. It is immutable once published.
 type Snapshot struct {
-	// Config is nil until a configuration has been read.
+	// Config is nil until a configuration has been received.
 	Config    *Config
 	Upstreams map[burdockid.Upstream]Upstream
-	// Generation grows with each change.
+	// Generation is incremented with each change.
 	Generation uint64
 }
 
-// Members returns the upstreams of a service that take new work, by id.
+// Members returns the upstreams of a service that accept new requests, sorted by ID.
 //
-// Failure: upstreams lose power and start again at once, while the records of
-// their former processes take seconds to lapse. Symptom: half of all offers are
-// made to a process that is gone, and are refused by the one that has taken its
-// address. One address has one process, so the record that came last stands.
+// When upstreams lose power and restart at once, the records of their former processes
+// take seconds to expire. Half of all offers then go to a process that no longer exists,
+// and are refused by the one that now has its address. An address belongs to one
+// process, so only the record that was created last counts.
 func (s *Snapshot) Members(service burdockid.Service) []Upstream {
 	latest := map[string]Revision{}
 	for _, u := range s.Upstreams {
@@ -179,8 +181,8 @@
 	return members
 }
 
-// Match returns the route of a request: among those of its host, the one with
-// the longest prefix that begins the path.
+// Match returns the route of a request. Among the routes of the host it is the one with
+// the longest matching path prefix.
 func (c *Config) Match(host, path string) (*Route, bool) {
 	for _, r := range c.byHost[host] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -190,13 +192,13 @@
 	return nil, false
 }
 
-// ByKey returns the customer that holds a key.
+// ByKey returns the customer that a key belongs to.
 func (c *Config) ByKey(key string) (*Customer, bool) {
 	customer, ok := c.byKey[key]
 	return customer, ok
 }
 
-// index prepares Match and ByKey.
+// index builds the lookup maps of Match and ByKey.
 func (c *Config) index() {
 	c.byHost, c.byKey = map[string][]*Route{}, map[string]*Customer{}
 	for i := range c.Routes {
@@ -213,35 +215,36 @@
 	}
 }
 
-// Site follows the platform's records.
+// Site holds the latest snapshot. It is safe for concurrent use.
 type Site struct {
-	current atomic.Pointer[Snapshot]
-	mu      sync.Mutex
-	changed []func(*Snapshot)
+	current     atomic.Pointer[Snapshot]
+	mu          sync.Mutex
+	subscribers []func(*Snapshot)
 }
 
-// New returns a site of which nothing is known yet.
+// New returns a site with an empty snapshot.
 func New() *Site {
 	s := &Site{}
 	s.current.Store(&Snapshot{})
 	return s
 }
 
-// Now returns what is known now.
+// Now returns the current snapshot.
 func (s *Site) Now() *Snapshot { return s.current.Load() }
 
-// Subscribe calls fn after each change, one at a time. It must be called before
-// the first change.
-func (s *Site) Subscribe(fn func(*Snapshot)) { s.changed = append(s.changed, fn) }
+// Subscribe registers fn to be called after each change. Calls don't overlap. Subscribe
+// must be called before the first change.
+func (s *Site) Subscribe(fn func(*Snapshot)) { s.subscribers = append(s.subscribers, fn) }
 
-// SetConfig takes over a configuration, and reports whether it is news.
+// SetConfig applies a configuration and reports whether it is newer than the current
+// one.
 //
-// Failure: a read that was answered late, or by a store that was set back,
-// brings an older version. Symptom: a route or key that was removed works
-// again. A version never gives way to a lower one, whoever brings it.
+// A delayed read, or a store that was restored from a backup, returns an older version.
+// If that were applied, a route or key that was removed would work again. A version is
+// therefore never replaced by a lower one, whatever its source.
 func (s *Site) SetConfig(cfg Config) bool {
 	cfg.index()
-	return s.change(func(next *Snapshot) bool {
+	return s.update(func(next *Snapshot) bool {
 		if next.Config != nil && cfg.Version <= next.Config.Version {
 			return false
 		}
@@ -250,9 +253,10 @@
 	})
 }
 
-// SetUpstreams replaces all upstreams, as after a listing.
+// SetUpstreams replaces all upstreams, for example after a listing. It reports whether
+// that changed anything.
 func (s *Site) SetUpstreams(upstreams map[burdockid.Upstream]Upstream) bool {
-	return s.change(func(next *Snapshot) bool {
+	return s.update(func(next *Snapshot) bool {
 		if maps.Equal(next.Upstreams, upstreams) {
 			return false
 		}
@@ -261,38 +265,38 @@
 	})
 }
 
-// PutUpstream adds or replaces one upstream.
+// PutUpstream adds or replaces one upstream. It reports whether that changed anything.
 func (s *Site) PutUpstream(u Upstream) bool {
-	return s.change(func(next *Snapshot) bool {
+	return s.update(func(next *Snapshot) bool {
 		if old, ok := next.Upstreams[u.ID]; ok && old == u {
 			return false
 		}
-		next.Upstreams = copyOf(next.Upstreams)
+		next.Upstreams = cloneUpstreams(next.Upstreams)
 		next.Upstreams[u.ID] = u
 		return true
 	})
 }
 
-// DropUpstream removes one upstream.
+// DropUpstream removes one upstream. It reports whether the upstream was present.
 func (s *Site) DropUpstream(id burdockid.Upstream) bool {
-	return s.change(func(next *Snapshot) bool {
+	return s.update(func(next *Snapshot) bool {
 		if _, ok := next.Upstreams[id]; !ok {
 			return false
 		}
-		next.Upstreams = copyOf(next.Upstreams)
+		next.Upstreams = cloneUpstreams(next.Upstreams)
 		delete(next.Upstreams, id)
 		return true
 	})
 }
 
-func copyOf(m map[burdockid.Upstream]Upstream) map[burdockid.Upstream]Upstream {
+func cloneUpstreams(m map[burdockid.Upstream]Upstream) map[burdockid.Upstream]Upstream {
 	if m == nil {
 		return map[burdockid.Upstream]Upstream{}
 	}
 	return maps.Clone(m)
 }
 
-func (s *Site) change(apply func(*Snapshot) bool) bool {
+func (s *Site) update(apply func(*Snapshot) bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	next := *s.current.Load()
@@ -301,7 +305,7 @@
 	}
 	next.Generation++
 	s.current.Store(&next)
-	for _, fn := range s.changed {
+	for _, fn := range s.subscribers {
 		fn(&next)
 	}
 	return true
--- a/internal/state/burdocksite/site_test.go
+++ b/internal/state/burdocksite/site_test.go
@@ -5,27 +5,27 @@
 	"testing"
 )
 
-// A read that was answered late brings an older configuration, in which a key
-// that was taken away still works. It must not come into force again.
+// Guards against a return to an old configuration: a delayed read returns an older
+// version, in which a key that was removed since still works.
 func TestConfigurationNeverGoesBack(t *testing.T) {
 	s := New()
-	told := 0
-	s.Subscribe(func(*Snapshot) { told++ })
+	notifications := 0
+	s.Subscribe(func(*Snapshot) { notifications++ })
 	s.SetConfig(Config{Version: 5, Customers: []Customer{{Name: "a", Keys: []string{"old"}}}})
 	s.SetConfig(Config{Version: 8})
 	if got := s.SetConfig(Config{Version: 5, Customers: []Customer{{Name: "a", Keys: []string{"old"}}}}); got {
-		t.Error("an older version was taken as news")
+		t.Error("SetConfig applied an older version")
 	}
 	if _, ok := s.Now().Config.ByKey("old"); ok || s.Now().Config.Version != 8 {
-		t.Errorf("in force: got version %d, want 8 without the key", s.Now().Config.Version)
+		t.Errorf("configuration: got version %d, want 8 without the key", s.Now().Config.Version)
 	}
-	if got, want := told, 2; got != want {
-		t.Errorf("changes told: got %d, want %d", got, want)
+	if got, want := notifications, 2; got != want {
+		t.Errorf("notifications: got %d, want %d", got, want)
 	}
 }
 
-// Readers hold a snapshot while upstreams come and go.
-func TestSnapshotsDoNotChange(t *testing.T) {
+// A reader's snapshot stays the same while upstreams are added and removed.
+func TestSnapshotsAreImmutable(t *testing.T) {
 	s := New()
 	s.PutUpstream(Upstream{ID: "a", Service: "s"})
 	before := s.Now()
@@ -39,8 +39,8 @@
 	}
 }
 
-// Guards against offers to a process that is gone while its record has yet to
-// lapse: the one that has taken its address refuses them.
+// Guards against offers to a process that no longer exists but whose record has not yet
+// expired. The process that now has its address refuses them.
 func TestAddressHasOneMember(t *testing.T) {
 	s := New()
 	s.PutUpstream(Upstream{ID: "new", Service: "s", Address: "10.1.0.1:80", CreateRevision: 7})
