--- a/internal/config/burdockmember/check.go
+++ b/internal/config/burdockmember/check.go
@@ -12,19 +12,19 @@
 	"burdockbend.example/burdockbend/internal/config/burdocktoml"
 )
 
-// checker holds what entities of a fleet refer to.
+// checker collects findings about a fleet, and the entities that others may refer to.
 type checker struct {
 	burdockrule.Checker
 	profiles    []burdockprofile.Profile
 	dataCentres burdockrule.Unique[burdockid.DataCentre]
 	services    map[burdockid.Service]Service
-	routes      []placedRoute
+	routes      []keyedRoute
 	models      burdockrule.Unique[string]
 	addresses   burdockrule.Unique[netip.AddrPort]
 }
 
-// Check returns what is wrong with the fleet, by key. Profiles are those that
-// its services may run under; when there are none, they are not checked.
+// Check validates the fleet and returns its findings, each with its key. Profile names and
+// route classes are checked against profiles, unless it is empty.
 func Check(f Fleet, profiles []burdockprofile.Profile) []burdockfinding.Finding {
 	c := &checker{profiles: profiles, services: map[burdockid.Service]Service{}}
 	burdockrule.Name(&c.Checker, "site", f.Site)
@@ -57,25 +57,25 @@
 		if burdockrule.Name(&c.Checker, key+".name", u.Name) {
 			names.Add(&c.Checker, key+".name", u.Name)
 		}
-		// An upstream's VM has a slot for one process of the system.
+		// The VM of an upstream has room for only one process of the system.
 		if burdockrule.Name(&c.Checker, key+".vm", u.VM) {
 			vms.Add(&c.Checker, key+".vm", u.VM)
 		}
 		c.checkDataCentre(key+".dataCentre", u.DataCentre)
 		c.addresses.Add(&c.Checker, key+".agent", c.Address(key+".agent", u.Agent))
-		_, known := c.services[u.Service]
-		checkKnown(c, key+".service", u.Service, known, "service")
+		_, exists := c.services[u.Service]
+		checkReference(c, key+".service", u.Service, exists, "service")
 	}
 }
 
 func (c *checker) checkDataCentre(key string, name burdockid.DataCentre) {
-	checkKnown(c, key, name, c.dataCentres.Has(name), "dataCentre")
+	checkReference(c, key, name, c.dataCentres.Has(name), "dataCentre")
 }
 
-// checkKnown adds a finding about a reference to an entity that isn't there.
-func checkKnown[S ~string](c *checker, key string, name S, known bool, table string) {
+// checkReference adds a finding for a reference to an entity that doesn't exist.
+func checkReference[S ~string](c *checker, key string, name S, exists bool, table string) {
 	switch {
-	case known:
+	case exists:
 	case name == "":
 		c.Add(key, "missing", fmt.Sprintf("the name of a [[%s]]", table))
 	default:
@@ -104,7 +104,7 @@
 			names.Add(&c.Checker, key+".name", customer.Name)
 		}
 		if !burdockkey.IsHash(customer.KeyHash) {
-			// The value is not shown: it may be the key itself, put here by mistake.
+			// The finding omits the value, which may be the key itself by mistake.
 			c.Add(key+".keyHash", "is no hash of a key", "sha256: and 64 hexadecimal digits in lower case, as printed by burdock customer key")
 			continue
 		}
--- a/internal/config/burdockmember/entity.go
+++ b/internal/config/burdockmember/entity.go
@@ -7,32 +7,32 @@
 	"burdockbend.example/burdockbend/internal/config/burdockentity"
 )
 
-// site is what a fleet has only once.
-type site struct {
+// siteValue is the JSON value of the store key burdockentity.SiteKey.
+type siteValue struct {
 	Site        string       `json:"site"`
 	DataCentres []DataCentre `json:"dataCentre"`
 }
 
-// kind says how entities of one kind are kept in the store.
-type kind[T any] struct {
+// entityKind defines the store keys of one kind of entity: a prefix and the entity's name.
+type entityKind[T any] struct {
 	prefix string
 	name   func(T) string
 }
 
 var (
-	services  = kind[Service]{burdockentity.ServicePrefix, func(s Service) string { return string(s.Name) }}
-	upstreams = kind[Upstream]{burdockentity.UpstreamPrefix, func(u Upstream) string { return string(u.Name) }}
-	entries   = kind[Entry]{burdockentity.EntryPrefix, func(e Entry) string { return string(e.VM) }}
-	customers = kind[Customer]{burdockentity.CustomerPrefix, func(c Customer) string { return string(c.Name) }}
+	services  = entityKind[Service]{burdockentity.ServicePrefix, func(s Service) string { return string(s.Name) }}
+	upstreams = entityKind[Upstream]{burdockentity.UpstreamPrefix, func(u Upstream) string { return string(u.Name) }}
+	entries   = entityKind[Entry]{burdockentity.EntryPrefix, func(e Entry) string { return string(e.VM) }}
+	customers = entityKind[Customer]{burdockentity.CustomerPrefix, func(c Customer) string { return string(c.Name) }}
 )
 
-// Split returns the store's entities of a fleet.
+// Split returns the store entities that represent a fleet.
 func Split(f Fleet) ([]burdockentity.Entity, error) {
-	first, err := burdockentity.Encode(burdockentity.SiteKey, site{Site: f.Site, DataCentres: f.DataCentres})
+	siteEntity, err := burdockentity.Encode(burdockentity.SiteKey, siteValue{Site: f.Site, DataCentres: f.DataCentres})
 	if err != nil {
 		return nil, err
 	}
-	s := &splitter{entities: []burdockentity.Entity{first}}
+	s := &splitter{entities: []burdockentity.Entity{siteEntity}}
 	split(s, services, f.Services)
 	split(s, upstreams, f.Upstreams)
 	split(s, entries, f.Entries)
@@ -40,10 +40,9 @@
 	return s.entities, s.err
 }
 
-// Assemble returns the fleet that entities describe, each list by name.
-// Entities that are no part of a fleet, such as profiles, are passed over.
-// References are not checked: the store holds each entity by itself, so a
-// reader may see an upstream before its service.
+// Assemble returns the fleet that entities describe, with each list sorted by name. It
+// ignores entities of other kinds, such as profiles. References are not checked: each
+// entity is stored separately, and a reader may receive an upstream before its service.
 func Assemble(entities []burdockentity.Entity) (Fleet, error) {
 	var f Fleet
 	a := &assembler{entities: entities}
@@ -53,7 +52,7 @@
 	f.Customers = assemble(a, customers)
 	for _, e := range entities {
 		if e.Key == burdockentity.SiteKey {
-			a.site(e, &f)
+			a.decodeSite(e, &f)
 		}
 	}
 	if a.err != nil {
@@ -67,7 +66,7 @@
 	err      error
 }
 
-func split[T any](s *splitter, k kind[T], items []T) {
+func split[T any](s *splitter, k entityKind[T], items []T) {
 	for _, item := range items {
 		e, err := burdockentity.Encode(k.prefix+k.name(item), item)
 		if err != nil {
@@ -83,15 +82,15 @@
 	err      error
 }
 
-func (a *assembler) site(e burdockentity.Entity, f *Fleet) {
-	var s site
+func (a *assembler) decodeSite(e burdockentity.Entity, f *Fleet) {
+	var s siteValue
 	if err := burdockentity.Decode(e, &s); err != nil {
 		a.err = cmp.Or(a.err, err)
 	}
 	f.Site, f.DataCentres = s.Site, s.DataCentres
 }
 
-func assemble[T any](a *assembler, k kind[T]) []T {
+func assemble[T any](a *assembler, k entityKind[T]) []T {
 	var items []T
 	for _, e := range burdockentity.Select(a.entities, k.prefix) {
 		var item T
--- a/internal/config/burdockmember/example_files_test.go
+++ b/internal/config/burdockmember/example_files_test.go
@@ -8,8 +8,8 @@
 	"burdockbend.example/burdockbend/internal/config/burdockprofile"
 )
 
-// deployments are the directories of example files, with the number of
-// replicas of their model pool and application service.
+// deployments are the directories of example files, with the names of their site, model
+// service and plain service.
 var deployments = []struct {
 	dir, site, pool, app string
 }{
--- a/internal/config/burdockmember/fleet.go
+++ b/internal/config/burdockmember/fleet.go
@@ -1,13 +1,13 @@
-// Package burdockmember holds the operators' view of the fleet: its data
-// centres, services, upstreams, entries and customers. It says who belongs;
-// what runs at this moment is for the membership list and the agents to say.
+// Package burdockmember defines the configured fleet of a site: its data centres,
+// services, upstreams, entries and customers. It contains what operators configure; what
+// currently runs is known from the membership list and the agents.
 package burdockmember
 
 import (
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// Fleet is the whole membership of one site.
+// Fleet is the configuration of all members of one site.
 type Fleet struct {
 	Site        string       `toml:"site" json:"site"`
 	DataCentres []DataCentre `toml:"dataCentre" json:"dataCentre"`
@@ -22,7 +22,7 @@
 	Name burdockid.DataCentre `toml:"name" json:"name"`
 }
 
-// Kind tells a service of model replicas from a plain HTTP service.
+// Kind is the kind of a service: model replicas or a plain HTTP service.
 type Kind string
 
 // The kinds of a service.
@@ -31,59 +31,59 @@
 	KindPlain Kind = "plain"
 )
 
-// Service is what callers ask for. Models are asked for by the names in
-// Models; a plain service by its routes.
+// Service is the target of callers' requests. Requests select a model service by a name
+// in Models, and a plain service by its routes.
 type Service struct {
 	Name    burdockid.Service `toml:"name" json:"name"`
 	Kind    Kind              `toml:"kind" json:"kind"`
 	Profile burdockid.Profile `toml:"profile" json:"profile"`
-	// Models are the names by which callers know the model.
+	// Models are the model names that callers may use in requests.
 	Models []string `toml:"models" json:"models,omitempty"`
 	Routes []Route  `toml:"route" json:"route,omitempty"`
-	// MaxPromptTokens is the longest prompt that the model takes.
+	// MaxPromptTokens is the length of the longest prompt that the model accepts.
 	MaxPromptTokens burdockid.Tokens `toml:"maxPromptTokens" json:"maxPromptTokens,omitempty"`
 }
 
-// Route is a part of a plain service that is treated alike.
+// Route is a set of a plain service's requests with the same class and retry rule.
 type Route struct {
-	// PathPrefix matches a path that is equal to it or goes on after a "/".
+	// PathPrefix matches a path that equals it or continues with a "/" after it.
 	PathPrefix string `toml:"pathPrefix" json:"pathPrefix"`
-	// Methods are HTTP methods; none means every method.
+	// Methods are the HTTP methods of the route; empty means every method.
 	Methods []string `toml:"methods" json:"methods,omitempty"`
-	// Idempotent says that a call may be repeated. It is never inferred from
-	// the method, as some plain services have a GET that may not be repeated.
+	// Idempotent allows retries of a request. It is never inferred from the method, because
+	// some plain services have a GET that must not be repeated.
 	Idempotent bool `toml:"idempotent" json:"idempotent"`
-	// Class names a class of the service's profile; empty means its default.
+	// Class is a priority class of the service's profile; empty means the default class.
 	Class string `toml:"class" json:"class,omitempty"`
 }
 
-// Upstream is one replica of a service. Its agent is the only way to it.
+// Upstream is one replica of a service. All requests reach it through its agent.
 type Upstream struct {
 	Name       burdockid.Upstream   `toml:"name" json:"name"`
 	Service    burdockid.Service    `toml:"service" json:"service"`
 	VM         burdockid.VM         `toml:"vm" json:"vm"`
 	DataCentre burdockid.DataCentre `toml:"dataCentre" json:"dataCentre"`
-	// Agent is the IP:port where the upstream's agent listens for the
-	// system's own processes.
+	// Agent is the IP:port where the upstream's agent listens for other processes of the
+	// system.
 	Agent string `toml:"agent" json:"agent"`
-	// Fenced says that the engine refuses an order with an old fencing number.
+	// Fenced is set if the engine refuses an order with an old fencing token.
 	Fenced bool `toml:"fenced" json:"fenced"`
-	// Group names the lock-stepped group; empty for an upstream of none.
+	// Group is the name of the lock-stepped group; empty if the upstream is in none.
 	Group string         `toml:"group" json:"group,omitempty"`
 	Rank  burdockid.Rank `toml:"rank" json:"rank,omitempty"`
 }
 
-// Entry is one VM that takes callers' requests.
+// Entry is one VM that accepts requests of callers.
 type Entry struct {
 	VM         burdockid.VM         `toml:"vm" json:"vm"`
 	DataCentre burdockid.DataCentre `toml:"dataCentre" json:"dataCentre"`
-	// Peer is the IP:port where the entry listens for the system's own processes.
+	// Peer is the IP:port where the entry listens for other processes of the system.
 	Peer string `toml:"peer" json:"peer"`
 }
 
-// Customer is one customer and the hash of its key.
+// Customer is one customer and the hash of its API key.
 type Customer struct {
 	Name burdockid.Customer `toml:"name" json:"name"`
-	// KeyHash is "sha256:" and the hash in lower-case hexadecimal digits.
+	// KeyHash is "sha256:" followed by the hash in lower-case hexadecimal digits.
 	KeyHash string `toml:"keyHash" json:"keyHash"`
 }
--- a/internal/config/burdockmember/fleet_test.go
+++ b/internal/config/burdockmember/fleet_test.go
@@ -61,15 +61,15 @@
 	}
 }
 
-// byName puts a fleet's lists in the order of Assemble.
-func byName(f *Fleet) {
+// sortByName sorts a fleet's lists in the order of Assemble.
+func sortByName(f *Fleet) {
 	slices.SortFunc(f.Services, func(a, b Service) int { return cmp.Compare(a.Name, b.Name) })
 	slices.SortFunc(f.Upstreams, func(a, b Upstream) int { return cmp.Compare(a.Name, b.Name) })
 	slices.SortFunc(f.Entries, func(a, b Entry) int { return cmp.Compare(a.VM, b.VM) })
 	slices.SortFunc(f.Customers, func(a, b Customer) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// splitAndAssemble takes a fleet and profiles through the store's form.
+// splitAndAssemble converts a fleet and profiles to store entities and back.
 func splitAndAssemble(t *testing.T, f Fleet, profiles []burdockprofile.Profile) (Fleet, []burdockprofile.Profile) {
 	t.Helper()
 	entities, err := Split(f)
@@ -97,7 +97,7 @@
 	for _, d := range deployments {
 		fleet, profiles := loadExample(t, d.dir)
 		gotFleet, gotProfiles := splitAndAssemble(t, fleet, profiles)
-		byName(&fleet)
+		sortByName(&fleet)
 		if !reflect.DeepEqual(gotFleet, fleet) {
 			t.Errorf("%s: fleet = %+v, want %+v", d.dir, gotFleet, fleet)
 		}
@@ -121,7 +121,7 @@
 	}
 }
 
-// addExamples adds a file of each deployment to the corpus.
+// addExamples adds the named file of each deployment to the fuzz corpus.
 func addExamples(f *testing.F, name string) {
 	for _, d := range deployments {
 		data, err := os.ReadFile(filepath.Join("..", "..", "..", "examples", d.dir, name))
@@ -132,8 +132,8 @@
 	}
 }
 
-// FuzzParse asks that a fleet without findings keeps its meaning, and still
-// has none, after it went through the store.
+// FuzzParse checks that a fleet without findings is unchanged, and still has none, after
+// its conversion to store entities and back.
 func FuzzParse(f *testing.F) {
 	addExamples(f, "fleet.toml")
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -142,19 +142,19 @@
 			return
 		}
 		got, _ := splitAndAssemble(t, fleet, nil)
-		byName(&fleet)
+		sortByName(&fleet)
 		gotJSON, _ := json.Marshal(got)
 		wantJSON, _ := json.Marshal(fleet)
 		if string(gotJSON) != string(wantJSON) {
 			t.Errorf("assembled = %s, want %s", gotJSON, wantJSON)
 		}
 		if findings := Check(got, nil); len(findings) > 0 {
-			t.Errorf("Check after the store = %v, want none", findings)
+			t.Errorf("Check after Split and Assemble = %v, want none", findings)
 		}
 	})
 }
 
-// FuzzAssemble gives bytes that a store might hold to every kind of entity.
+// FuzzAssemble checks that no stored key and value can crash Assemble or Check.
 func FuzzAssemble(f *testing.F) {
 	f.Add("upstream/a", []byte(`{"name":"a","agent":"10.0.0.1:1","rank":3}`))
 	f.Add("service/a", []byte(`{"name":"a","route":[{"pathPrefix":"/"}]}`))
--- a/internal/config/burdockmember/group.go
+++ b/internal/config/burdockmember/group.go
@@ -8,20 +8,20 @@
 	"burdockbend.example/burdockbend/internal/config/burdocktoml"
 )
 
-// maxRank is well above the largest group of the letter's target.
+// maxRank is well above the ranks of the largest group that the system is meant for.
 const maxRank burdockid.Rank = 1023
 
-// group is what was seen of one lock-stepped group.
+// group collects the ranks of one lock-stepped group.
 type group struct {
-	key     string // of the first upstream in it
-	service burdockid.Service
-	ranks   map[burdockid.Rank]string
-	highest burdockid.Rank
+	key         string // of the first upstream in it
+	service     burdockid.Service
+	ranks       map[burdockid.Rank]string
+	highestRank burdockid.Rank
 }
 
-// checkGroups asks that a group's ranks are those of one model service and
-// count from 0 without a gap: an expert map names a rank by its number, and a
-// step waits for every rank.
+// checkGroups requires that all ranks of a group belong to one model service and are
+// numbered from 0 without a gap: an expert map refers to a rank by its number, and a step
+// waits for every rank.
 func (c *checker) checkGroups(upstreams []Upstream) {
 	groups := map[string]*group{}
 	var order []string
@@ -55,21 +55,21 @@
 		c.Add(key+".service", fmt.Sprintf("is %q, but the group's %s.service is %q", u.Service, g.key, g.service), "one service for the whole group")
 	}
 	burdockrule.Between(&c.Checker, key+".rank", u.Rank, 0, maxRank)
-	if first, ok := g.ranks[u.Rank]; ok {
-		c.Add(key+".rank", fmt.Sprintf("is %d of group %q, as is %s", u.Rank, u.Group, first), "each rank only once")
+	if firstKey, ok := g.ranks[u.Rank]; ok {
+		c.Add(key+".rank", fmt.Sprintf("is %d of group %q, as is %s", u.Rank, u.Group, firstKey), "each rank only once")
 		return
 	}
 	g.ranks[u.Rank] = key + ".rank"
-	g.highest = max(g.highest, u.Rank)
+	g.highestRank = max(g.highestRank, u.Rank)
 }
 
 func (c *checker) checkGaps(name string, g *group) {
-	if g.highest > maxRank {
+	if g.highestRank > maxRank {
 		return
 	}
-	for rank := burdockid.Rank(0); rank < g.highest; rank++ {
+	for rank := burdockid.Rank(0); rank < g.highestRank; rank++ {
 		if _, ok := g.ranks[rank]; !ok {
-			c.Add(g.key+".group", fmt.Sprintf("group %q has no rank %d, but a rank %d", name, rank, g.highest), "ranks from 0 without a gap")
+			c.Add(g.key+".group", fmt.Sprintf("group %q has no rank %d, but a rank %d", name, rank, g.highestRank), "ranks from 0 without a gap")
 			return
 		}
 	}
--- a/internal/config/burdockmember/parse.go
+++ b/internal/config/burdockmember/parse.go
@@ -5,9 +5,8 @@
 	"burdockbend.example/burdockbend/internal/config/burdocktoml"
 )
 
-// Parse reads a fleet from a TOML file. Profiles are those that its services
-// may run under; when there are none, they are not checked. The error is a
-// *burdockfinding.Error that holds every finding with its place.
+// Parse decodes a fleet from TOML and validates it as Check does. The error is a
+// *burdockfinding.Error with every finding and its position in the file.
 func Parse(file string, data []byte, profiles []burdockprofile.Profile) (Fleet, error) {
 	fleet, doc := Decode(file, data, profiles)
 	if err := doc.Err(); err != nil {
@@ -16,7 +15,7 @@
 	return fleet, nil
 }
 
-// Decode is Parse for a caller that has more to report on the file.
+// Decode is like Parse, for a caller that adds findings of its own to the document.
 func Decode(file string, data []byte, profiles []burdockprofile.Profile) (Fleet, *burdocktoml.Document) {
 	var fleet Fleet
 	doc := burdocktoml.Decode(file, data, &fleet)
--- a/internal/config/burdockmember/route.go
+++ b/internal/config/burdockmember/route.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Matches reports whether a call belongs to the route. The prefix ends at a
-// "/", so that /job does not take in /jobs.
+// Matches reports whether a request matches the route. The prefix matches whole path
+// segments only: /job doesn't match /jobs.
 func (r Route) Matches(method, path string) bool {
 	if len(r.Methods) > 0 && !slices.Contains(r.Methods, method) {
 		return false
@@ -16,12 +16,12 @@
 	return ok && (rest == "" || rest[0] == '/')
 }
 
-// FindRoute returns the service and route of a call: of those that match, the
-// one with the longest prefix. The path is the decoded one.
+// FindRoute returns the service and route of a request: the matching route with the
+// longest prefix. The path must be decoded.
 //
-// A path with "..", "." or an empty part has no route. An upstream that
-// resolves /jobs/../letters would run a call of /letters, while the call was
-// treated as one of /jobs and may have been repeated.
+// A path with a "..", "." or empty segment has no route. An upstream may resolve
+// /jobs/../letters to /letters: the request then runs there, but it is classified, and
+// perhaps retried, by the rules of /jobs.
 func (f Fleet) FindRoute(method, path string) (Service, Route, bool) {
 	if !IsClean(path) {
 		return Service{}, Route{}, false
@@ -39,9 +39,9 @@
 	return service, route, found
 }
 
-// IsClean reports whether a path has no "..", "." or empty part. A slash at its
-// end is no such part.
+// IsClean reports whether a path is absolute and has no "..", "." or empty segment. A
+// trailing slash is allowed.
 func IsClean(path string) bool {
-	clean := pathpkg.Clean(path)
-	return strings.HasPrefix(path, "/") && (path == clean || clean != "/" && path == clean+"/")
+	cleaned := pathpkg.Clean(path)
+	return strings.HasPrefix(path, "/") && (path == cleaned || cleaned != "/" && path == cleaned+"/")
 }
--- a/internal/config/burdockmember/service.go
+++ b/internal/config/burdockmember/service.go
@@ -13,10 +13,10 @@
 	"burdockbend.example/burdockbend/internal/config/burdocktoml"
 )
 
-// maxPromptTokens is beyond the context of any model in use.
+// maxPromptTokens exceeds the context length of any model in use.
 const maxPromptTokens burdockid.Tokens = 1 << 24
 
-// modelPaths belong to the model API: a route there would never be reached.
+// modelPaths are reserved for the model API: a route below them would never match.
 var modelPaths = []string{"/v1/chat/completions", "/v1/completions", "/v1/models"}
 
 var methods = []string{
@@ -24,8 +24,8 @@
 	http.MethodPatch, http.MethodDelete, http.MethodOptions,
 }
 
-// placedRoute is a route and its key.
-type placedRoute struct {
+// keyedRoute is a route and its key in the file.
+type keyedRoute struct {
 	key   string
 	route Route
 }
@@ -60,8 +60,8 @@
 	}
 	for i, route := range s.Routes {
 		if _, ok := profile.Class(route.Class); route.Class != "" && !ok {
-			at := burdocktoml.Item(key+".route", i) + ".class"
-			c.Add(at, fmt.Sprintf("is %q, which is no class of profile %q", route.Class, s.Profile), "the name of a class of the profile")
+			classKey := burdocktoml.Item(key+".route", i) + ".class"
+			c.Add(classKey, fmt.Sprintf("is %q, which is no class of profile %q", route.Class, s.Profile), "the name of a class of the profile")
 		}
 	}
 }
@@ -71,11 +71,11 @@
 		c.Add(key+".models", "a model service has no name that callers could ask for", "at least one")
 	}
 	for i, model := range s.Models {
-		at := burdocktoml.Item(key+".models", i)
+		modelKey := burdocktoml.Item(key+".models", i)
 		if model == "" {
-			c.Add(at, "is empty", "a name that callers use")
+			c.Add(modelKey, "is empty", "a name that callers use")
 		}
-		c.models.Add(&c.Checker, at, model)
+		c.models.Add(&c.Checker, modelKey, model)
 	}
 	if len(s.Routes) > 0 {
 		c.Add(key+".route", "a model service has routes", "none: it is asked for by the names in models")
@@ -111,19 +111,19 @@
 			c.Add(key+".pathPrefix", fmt.Sprintf("is %q, which belongs to the model API", r.PathPrefix), "another path")
 		}
 	}
-	c.checkOverlap(placedRoute{key: key, route: r})
+	c.checkOverlap(keyedRoute{key: key, route: r})
 }
 
-// checkOverlap finds two routes that claim the same calls. A route within
-// another is no overlap, as the longer prefix wins.
-func (c *checker) checkOverlap(p placedRoute) {
+// checkOverlap adds a finding if an earlier route has the same prefix and a method in
+// common. A prefix below another one is allowed, because the longest match wins.
+func (c *checker) checkOverlap(r keyedRoute) {
 	for _, other := range c.routes {
-		if other.route.PathPrefix == p.route.PathPrefix && sharesMethod(other.route, p.route) {
-			c.Add(p.key+".pathPrefix", fmt.Sprintf("is %q for the same methods as %s", p.route.PathPrefix, other.key), "each path and method in one route")
+		if other.route.PathPrefix == r.route.PathPrefix && sharesMethod(other.route, r.route) {
+			c.Add(r.key+".pathPrefix", fmt.Sprintf("is %q for the same methods as %s", r.route.PathPrefix, other.key), "each path and method in one route")
 			break
 		}
 	}
-	c.routes = append(c.routes, p)
+	c.routes = append(c.routes, r)
 }
 
 func sharesMethod(a, b Route) bool {
--- a/internal/config/burdockmember/share.go
+++ b/internal/config/burdockmember/share.go
@@ -10,9 +10,9 @@
 	"burdockbend.example/burdockbend/internal/config/burdocktoml"
 )
 
-// CheckShares returns the shares of customers that the fleet doesn't have, by
-// key of the profiles. A misspelt name would leave the customer it was meant
-// for with the default share, and nobody would notice before it is slow.
+// CheckShares returns a finding for each profile share whose customer isn't in the fleet,
+// with its key in the profiles. Otherwise a misspelt name leaves the intended customer
+// with the default share, which goes unnoticed until that customer's requests are slow.
 func CheckShares(f Fleet, profiles []burdockprofile.Profile) []burdockfinding.Finding {
 	known := make(map[burdockid.Customer]bool, len(f.Customers))
 	for _, customer := range f.Customers {
@@ -20,10 +20,10 @@
 	}
 	var c burdockrule.Checker
 	for i, p := range profiles {
-		shares := burdocktoml.Item("profile", i) + ".share"
+		sharesKey := burdocktoml.Item("profile", i) + ".share"
 		for j, share := range p.Shares {
 			if !known[share.Customer] {
-				key := burdocktoml.Item(shares, j) + ".customer"
+				key := burdocktoml.Item(sharesKey, j) + ".customer"
 				c.Add(key, fmt.Sprintf("is %q, which the fleet doesn't have", share.Customer), "the name of a [[customer]]")
 			}
 		}
