--- a/internal/config/burdockkey/key.go
+++ b/internal/config/burdockkey/key.go
@@ -1,5 +1,5 @@
-// Package burdockkey makes customers' keys and tells whose a key is. The
-// configuration holds only hashes, so that who reads it learns no key.
+// Package burdockkey generates API keys of customers and verifies them against hashes.
+// The configuration contains only the hashes, so reading it reveals no key.
 package burdockkey
 
 import (
@@ -16,23 +16,23 @@
 	keyBytes   = 32
 )
 
-// New returns a key that nobody can guess. As it has 256 random bits, one
-// round of SHA-256 is enough to keep it secret; a password would need more.
+// New returns a random key. With 256 random bits, a single SHA-256 hash is enough to
+// protect it; a password would need a slow hash.
 func New() string {
 	var b [keyBytes]byte
-	// crypto/rand.Read never returns an error; it ends the process instead.
+	// crypto/rand.Read never returns an error; on failure it ends the process.
 	_, _ = rand.Read(b[:])
 	return keyPrefix + hex.EncodeToString(b[:])
 }
 
-// Hash returns the hash of a key as the configuration holds it.
+// Hash returns the hash of a key in the form that the configuration contains.
 func Hash(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hashPrefix + hex.EncodeToString(sum[:])
 }
 
-// Matches reports whether key has the hash. How long it takes tells nothing
-// about how much of the hash is right.
+// Matches reports whether hash is the hash of key. The comparison takes constant time, so
+// its duration doesn't reveal how much of the hash is correct.
 func Matches(hash, key string) bool {
 	return subtle.ConstantTimeCompare([]byte(hash), []byte(Hash(key))) == 1
 }
