--- a/internal/config/burdockrule/rule.go
+++ b/internal/config/burdockrule/rule.go
@@ -1,5 +1,5 @@
-// Package burdockrule holds the rules that settings, profiles and membership
-// share. Each rule adds a finding when a value breaks it.
+// Package burdockrule provides the validation rules that settings, profiles and fleets
+// share. Each rule adds a finding if a value violates it.
 package burdockrule
 
 import (
@@ -14,35 +14,34 @@
 	"burdockbend.example/burdockbend/internal/base/burdockfinding"
 )
 
-// maxNameBytes keeps a name short enough for a store key, a log line and a
-// metric label.
+// maxNameBytes keeps names short enough for store keys, log lines and metric labels.
 const maxNameBytes = 64
 
-var name = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
+var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
 
-// Checker collects findings that know their key, but neither file nor line.
-// The zero value is ready to use.
+// Checker collects findings that have a key, but no file or line. The zero value is ready
+// to use.
 type Checker struct {
-	list burdockfinding.List
+	findings burdockfinding.List
 }
 
-// Findings returns what was found so far.
-func (c *Checker) Findings() []burdockfinding.Finding { return c.list.All() }
+// Findings returns the findings added so far.
+func (c *Checker) Findings() []burdockfinding.Finding { return c.findings.All() }
 
-// Add adds a finding.
+// Add adds a finding: what is wrong with the value of key, and what is wanted instead.
 func (c *Checker) Add(key, what, want string) {
-	c.list.Add(burdockfinding.Finding{Key: key, What: what, Want: want})
+	c.findings.Add(burdockfinding.Finding{Key: key, What: what, Want: want})
 }
 
-// Name asks for a name that can stand in a store key: no slash, no space.
-// It reports whether the value is one.
+// Name requires a name that is valid in a store key, without slash or space. It reports
+// whether value is one.
 func Name[S ~string](c *Checker, key string, value S) bool {
 	switch {
 	case value == "":
 		c.Add(key, "missing", "a name")
 	case len(value) > maxNameBytes:
 		c.Add(key, fmt.Sprintf("is %d bytes long", len(value)), fmt.Sprintf("at most %d", maxNameBytes))
-	case !name.MatchString(string(value)):
+	case !namePattern.MatchString(string(value)):
 		c.Add(key, fmt.Sprintf("is %q", value), "letters, digits, '.', '_' and '-', the first a letter or digit")
 	default:
 		return true
@@ -50,22 +49,22 @@
 	return false
 }
 
-// Between asks for a number from low to high.
+// Between requires a number from low to high, both included.
 func Between[N cmp.Ordered](c *Checker, key string, value, low, high N) {
 	if value < low || value > high {
-		c.Add(key, "is "+plain(value), plain(low)+" to "+plain(high))
+		c.Add(key, "is "+formatNumber(value), formatNumber(low)+" to "+formatNumber(high))
 	}
 }
 
-// plain writes a number as a file would, without an exponent.
-func plain[N cmp.Ordered](value N) string {
+// formatNumber formats a number without an exponent, as it is written in a file.
+func formatNumber[N cmp.Ordered](value N) string {
 	if x, ok := any(value).(float64); ok {
 		return strconv.FormatFloat(x, 'f', -1, 64)
 	}
 	return fmt.Sprint(value)
 }
 
-// OneOf asks for one of some words.
+// OneOf requires that value is one of words.
 func OneOf[S ~string](c *Checker, key string, value S, words ...S) {
 	if slices.Contains(words, value) {
 		return
@@ -81,10 +80,9 @@
 	c.Add(key, what, strings.Join(quoted, " or "))
 }
 
-// Address asks for the address of another process: an IP number that can be
-// dialled, and a port. Names are refused, as the system's VMs have no
-// resolver that they may depend on. It returns the address, not valid when it
-// broke the rule.
+// Address requires the address of another process: an IP address that can be dialled, and
+// a port. Host names are refused, because the VMs have no DNS resolver to depend on. It
+// returns the address, or the zero AddrPort if value violates the rule.
 func (c *Checker) Address(key, value string) netip.AddrPort {
 	addr := c.address(key, value)
 	switch {
@@ -99,8 +97,9 @@
 	return netip.AddrPort{}
 }
 
-// Listen asks for an address to listen on: port 0 lets the machine choose
-// one, and 0.0.0.0 or [::] stands for every address of the VM.
+// Listen requires an address to listen on. Port 0 lets the operating system choose a port,
+// and 0.0.0.0 or [::] means every address of the VM. It returns the address, or the zero
+// AddrPort if value violates the rule.
 func (c *Checker) Listen(key, value string) netip.AddrPort { return c.address(key, value) }
 
 func (c *Checker) address(key, value string) netip.AddrPort {
@@ -116,31 +115,32 @@
 	return netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())
 }
 
-// Unique finds values that stand more than once. The zero value is ready to use.
+// Unique detects duplicate values. The zero value is ready to use.
 type Unique[V comparable] struct {
-	first map[V]string
+	keys map[V]string
 }
 
-// Add notes that value stands at key, and reports whether it is the first.
-// The zero value of V is left out: that it is missing is another finding.
+// Add records the value of key, and reports whether it is new; a duplicate adds a
+// finding. The zero value of V is ignored, because a missing value is reported by another
+// rule.
 func (u *Unique[V]) Add(c *Checker, key string, value V) bool {
-	var none V
-	if value == none {
+	var zero V
+	if value == zero {
 		return false
 	}
-	if first, ok := u.first[value]; ok {
-		c.Add(key, fmt.Sprintf("is %q, as is %s", fmt.Sprint(value), first), "each only once")
+	if firstKey, ok := u.keys[value]; ok {
+		c.Add(key, fmt.Sprintf("is %q, as is %s", fmt.Sprint(value), firstKey), "each only once")
 		return false
 	}
-	if u.first == nil {
-		u.first = map[V]string{}
+	if u.keys == nil {
+		u.keys = map[V]string{}
 	}
-	u.first[value] = key
+	u.keys[value] = key
 	return true
 }
 
 // Has reports whether value was added.
 func (u *Unique[V]) Has(value V) bool {
-	_, ok := u.first[value]
+	_, ok := u.keys[value]
 	return ok
 }
