--- a/internal/config/burdockentity/entity.go
+++ b/internal/config/burdockentity/entity.go
@@ -1,7 +1,7 @@
-// Package burdockentity turns profiles and membership into the values of the
-// configuration store and back. Each profile, service, upstream, customer and
-// entry has a store key of its own, so that two operators who edit different
-// ones don't race, and a change costs the bytes of what changed.
+// Package burdockentity converts profiles and fleets to values of the configuration store
+// and back. Each profile, service, upstream, customer and entry has its own store key:
+// operators who edit different ones don't conflict, and a change transfers only the
+// entities that changed.
 package burdockentity
 
 import (
@@ -11,20 +11,21 @@
 	"github.com/joomcode/errorx"
 )
 
-// The store keys: a kind, a slash, and the name of one entity.
+// Prefixes of the store keys: the kind of entity and a slash. The entity's name follows.
 const (
 	ProfilePrefix  = "profile/"
 	ServicePrefix  = "service/"
 	UpstreamPrefix = "upstream/"
 	CustomerPrefix = "customer/"
 	EntryPrefix    = "entry/"
-	// SiteKey is the key of what is there only once.
+	// SiteKey is the key of the site's name and data centres.
 	SiteKey = "site"
 )
 
 var namespace = errorx.NewNamespace("burdockentity")
 
-// ErrBadValue is the type of an error about a stored value that isn't ours.
+// ErrBadValue is the type of errors about a stored value that can't be encoded or decoded,
+// or doesn't belong to its key.
 var ErrBadValue = namespace.NewType("badValue")
 
 // Entity is one key of the store and its JSON value.
@@ -33,7 +34,7 @@
 	Value []byte
 }
 
-// Encode returns the entity of v.
+// Encode returns the entity with v as its JSON value.
 func Encode(key string, v any) (Entity, error) {
 	value, err := json.Marshal(v)
 	if err != nil {
@@ -42,8 +43,8 @@
 	return Entity{Key: key, Value: value}, nil
 }
 
-// Decode reads the entity into v. A field that v doesn't know is passed over,
-// as a newer release may have written it.
+// Decode decodes the entity's value into v. Unknown fields are ignored, because a newer
+// release may have written them.
 func Decode(e Entity, v any) error {
 	if err := json.Unmarshal(e.Value, v); err != nil {
 		return ErrBadValue.Wrap(err, "decoding %s", e.Key)
@@ -51,16 +52,16 @@
 	return nil
 }
 
-// CheckName returns an error unless the name within the value is that of the
-// key: a value under a wrong key would take another entity's place.
+// CheckName returns an error unless the name in the value matches the key. A value under a
+// wrong key would replace another entity.
 func CheckName[S ~string](e Entity, prefix string, name S) error {
 	if e.Key != prefix+string(name) {
-		return ErrBadValue.New("the value of %s is that of %q", e.Key, name)
+		return ErrBadValue.New("value of %s has the name %q", e.Key, name)
 	}
 	return nil
 }
 
-// Select returns the entities whose key has the prefix.
+// Select returns the entities whose keys have the prefix.
 func Select(entities []Entity, prefix string) []Entity {
 	var selected []Entity
 	for _, e := range entities {
