--- a/cmd/burdock-hosted/reload.go
+++ b/cmd/burdock-hosted/reload.go
@@ -57,5 +57,5 @@
 	}
 	f.failed, f.last = false, now
 	f.level.SetLevel(burdocklog.Level(now.LogLevel))
-	f.log.Info("settings read again", zap.String("logLevel", now.LogLevel), zap.Strings("needStart", f.inForce.NeedStart(now)))
+	f.log.Info("settings read again", zap.String("logLevel", now.LogLevel), zap.Strings("needStart", f.inForce.RestartRequired(now)))
 }
--- a/internal/config/burdockprofile/profile.go
+++ b/internal/config/burdockprofile/profile.go
@@ -45,16 +45,16 @@
 	Share    float64            `toml:"share" json:"share"`
 }
 
-// QueuedWork says what a planned stop does with requests that still wait.
-type QueuedWork string
+// QueuedAction is what a planned stop does with requests that are still queued.
+type QueuedAction string
 
-// The ways to treat queued work on a planned stop.
+// The actions for queued requests on a planned stop.
 const (
 	// FinishQueued runs queued requests within the grace time.
-	FinishQueued QueuedWork = "finish"
+	FinishQueued QueuedAction = "finish"
 	// RefuseQueued answers queued requests "not run" at once, so that the
 	// entry places them on another upstream.
-	RefuseQueued QueuedWork = "refuse"
+	RefuseQueued QueuedAction = "refuse"
 )
 
 // Stop says how a process or upstream under this profile stops as planned.
@@ -62,7 +62,7 @@
 	// GraceMillis bounds the time for requests in flight, and for queued ones
 	// that are finished. It covers the longest deadline of the classes.
 	GraceMillis burdockclock.Millis `toml:"graceMillis" json:"graceMillis"`
-	Queued      QueuedWork          `toml:"queued" json:"queued"`
+	Queued      QueuedAction        `toml:"queued" json:"queued"`
 }
 
 // Experts is the exchange rate between the two costs of expert placement.
--- a/internal/config/burdocksettings/hosted.go
+++ b/internal/config/burdocksettings/hosted.go
@@ -76,10 +76,10 @@
 	return h, nil
 }
 
-// NeedStart returns the keys in which other settings differ from those in force
-// and which a running process can't take over: its addresses, ports and sizes
-// stand until it starts again. The log level can be taken over.
-func (h Hosted) NeedStart(now Hosted) []string {
+// RestartRequired returns the keys whose values differ between h, the settings in
+// force, and now, the settings read from the file, and that take effect only after a
+// restart. That is every key except the log level, which applies at once.
+func (h Hosted) RestartRequired(now Hosted) []string {
 	now.LogLevel = h.LogLevel
 	inForce, read := reflect.ValueOf(h), reflect.ValueOf(now)
 	var keys []string
--- a/internal/config/burdocksettings/hosted_test.go
+++ b/internal/config/burdocksettings/hosted_test.go
@@ -59,15 +59,15 @@
 
 // Settings change while the process runs. Its log level is taken over; of the
 // others it says which need a new start.
-func TestNeedStartNamesWhatCannotBeTakenOver(t *testing.T) {
+func TestRestartRequired(t *testing.T) {
 	inForce := Hosted{VM: "vm-1", PeerPort: 7000, LogLevel: "info"}
 	now := inForce
 	now.LogLevel = "debug"
-	if got := inForce.NeedStart(now); len(got) != 0 {
+	if got := inForce.RestartRequired(now); len(got) != 0 {
 		t.Errorf("another log level: got %q, want none", got)
 	}
 	now.PeerPort, now.StoreAddress = 7001, "10.0.0.1:80"
-	if got, want := inForce.NeedStart(now), []string{"peerPort", "storeAddress"}; !slices.Equal(got, want) {
+	if got, want := inForce.RestartRequired(now), []string{"peerPort", "storeAddress"}; !slices.Equal(got, want) {
 		t.Errorf("other addresses: got %q, want %q", got, want)
 	}
 }
--- a/internal/config/burdocksettings/tls.go
+++ b/internal/config/burdocksettings/tls.go
@@ -11,8 +11,9 @@
 
 var namespace = errorx.NewNamespace("burdocksettings")
 
-// ErrKeys is the type of an error about keys that can't be read or used.
-var ErrKeys = namespace.NewType("keys")
+// ErrTLS is the type of an error about TLS certificates or keys that can't be read or
+// used.
+var ErrTLS = namespace.NewType("keys")
 
 const pemStart = "-----BEGIN "
 
@@ -86,11 +87,11 @@
 	}
 	pair, err := tls.X509KeyPair(material[0], material[1])
 	if err != nil {
-		return tls.Certificate{}, nil, ErrKeys.Wrap(err, "tls.cert and tls.key")
+		return tls.Certificate{}, nil, ErrTLS.Wrap(err, "tls.cert and tls.key")
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(material[2]) {
-		return tls.Certificate{}, nil, ErrKeys.New("tls.ca holds no certificate")
+		return tls.Certificate{}, nil, ErrTLS.New("tls.ca holds no certificate")
 	}
 	return pair, pool, nil
 }
@@ -101,7 +102,7 @@
 	}
 	pem, err := os.ReadFile(setting)
 	if err != nil {
-		return nil, ErrKeys.Wrap(err, "reading a key file")
+		return nil, ErrTLS.Wrap(err, "reading a key file")
 	}
 	return pem, nil
 }
@@ -109,14 +110,14 @@
 // verify checks that a server's chain ends at the site's own authority.
 func verify(state tls.ConnectionState, pool *x509.CertPool) error {
 	if len(state.PeerCertificates) == 0 {
-		return ErrKeys.New("the server showed no certificate")
+		return ErrTLS.New("the server showed no certificate")
 	}
 	options := x509.VerifyOptions{Roots: pool, Intermediates: x509.NewCertPool()}
 	for _, cert := range state.PeerCertificates[1:] {
 		options.Intermediates.AddCert(cert)
 	}
 	if _, err := state.PeerCertificates[0].Verify(options); err != nil {
-		return ErrKeys.Wrap(err, "the server is not of this site")
+		return ErrTLS.Wrap(err, "the server is not of this site")
 	}
 	return nil
 }
