--- a/internal/config/burdocksettings/check.go
+++ b/internal/config/burdocksettings/check.go
@@ -11,8 +11,8 @@
 	"burdockbend.example/burdockbend/internal/config/burdocktoml"
 )
 
-// Bounds of what settings may ask for. A value beyond them is a slip of the
-// pen, such as seconds for milliseconds, more often than an intention.
+// Bounds of the accepted values. A value beyond them is more often a mistake, such as
+// a wrong unit, than intended.
 const (
 	minHeaderBytes = 1 << 10
 	maxHeaderBytes = 16 << 20
@@ -24,13 +24,13 @@
 	maxSlots       = 1 << 16
 )
 
-// checker finds also two listeners on one address.
+// checker also finds two listeners on the same address.
 type checker struct {
 	burdockrule.Checker
 	listeners burdockrule.Unique[netip.AddrPort]
 }
 
-// Check returns what is wrong with the settings, by key.
+// Check returns the findings about the settings. Each names its key.
 func (e *Entry) Check() []burdockfinding.Finding {
 	c := &checker{}
 	c.common(e.Common)
@@ -39,7 +39,7 @@
 	return c.Findings()
 }
 
-// Check returns what is wrong with the settings, by key.
+// Check returns the findings about the settings. Each names its key.
 func (a *Agent) Check() []burdockfinding.Finding {
 	c := &checker{}
 	c.common(a.Common)
@@ -91,8 +91,9 @@
 	}
 }
 
-// transport asks that the settings say how the system's own processes talk:
-// with TLS, or in words that they go without.
+// transport requires the settings to choose between TLS and plain text for connections
+// between the system's processes. There is no default, so that nobody gets plain text
+// by leaving a key out.
 func (c *checker) transport(m Common) {
 	switch {
 	case m.PlainText != "" && m.PlainText != PlainTextAccepted:
--- a/internal/config/burdocksettings/default.go
+++ b/internal/config/burdocksettings/default.go
@@ -2,35 +2,36 @@
 
 import "burdockbend.example/burdockbend/internal/base/burdockclock"
 
-// The values of keys that a settings file leaves out.
+// Defaults of the keys that a settings file may leave out.
 const (
 	defaultLogLevel = "info"
 
-	// A header holds a key and a few ids: a quarter of net/http's default
-	// is plenty, and each open connection may cost that much.
+	// A request's header contains a key and a few ids, for which a quarter of
+	// net/http's default is ample. Each open connection may use that much memory.
 	defaultMaxHeaderBytes = 256 << 10
-	// The longest prompt in use is far below this; a body is held in memory
-	// while a request is placed, so the limit bounds what one sender costs.
+	// The longest prompt in use is far below this. A body stays in memory until the
+	// request is placed, so this limits the memory that one sender can take.
 	defaultMaxBodyBytes = 8 << 20
-	// A sender slower than this holds a connection for nothing.
+	// A slower sender occupies a connection without making use of it.
 	defaultReadHeaderTimeoutMillis = 5 * burdockclock.Second
 	defaultBodyTimeoutMillis       = 30 * burdockclock.Second
-	// Longer than the idle time of usual clients and balancers, so that the
-	// client closes first and none of its requests meets a closing connection.
+	// Longer than the idle timeout of common clients and load balancers. The client
+	// then closes first, and none of its requests arrives on a connection that the
+	// server is closing.
 	defaultIdleTimeoutMillis = 2 * burdockclock.Minute
-	// A reader that takes nothing for so long is taken for gone.
+	// A receiver that reads nothing for this long is considered gone.
 	defaultWriteStallMillis = 30 * burdockclock.Second
 	defaultMaxConnections   = 4096
 
-	// Twice the deadline of a class that states none: a stop ends as soon as
-	// nothing is in flight, so a long bound costs nothing.
+	// Twice the default deadline of a class. A stop ends as soon as no request is in
+	// flight, so a long limit costs nothing.
 	defaultDrainGraceMillis = 10 * burdockclock.Minute
-	// The usual batch of a small replica; more would wait inside the engine,
-	// where the agent can neither order nor refuse it.
+	// The typical batch size of a small replica. Further requests would queue inside
+	// the engine, where the agent can neither reorder nor refuse them.
 	defaultSlots = 16
 )
 
-// SetDefaults fills in what holds when a file leaves a key out.
+// SetDefaults sets the values of the keys that a file may leave out.
 func (c *Common) SetDefaults() {
 	c.LogLevel = defaultLogLevel
 	c.Limits = Limits{
@@ -44,13 +45,13 @@
 	}
 }
 
-// SetDefaults fills in what holds when a file leaves a key out.
+// SetDefaults sets the values of the keys that a file may leave out.
 func (e *Entry) SetDefaults() {
 	e.Common.SetDefaults()
 	e.DrainGraceMillis = defaultDrainGraceMillis
 }
 
-// SetDefaults fills in what holds when a file leaves a key out.
+// SetDefaults sets the values of the keys that a file may leave out.
 func (a *Agent) SetDefaults() {
 	a.Common.SetDefaults()
 	a.Slots = defaultSlots
--- a/internal/config/burdocksettings/hosted.go
+++ b/internal/config/burdocksettings/hosted.go
@@ -9,37 +9,37 @@
 	"burdockbend.example/burdockbend/internal/config/burdockrule"
 )
 
-// Hosted is the settings of a process on a site whose platform keeps routes and
-// membership: an entry when CallerListen is set, else the agent beside an
-// upstream.
+// Hosted is the settings of a process on a hosted site, where the platform manages
+// routes and membership. The process is an entry when CallerListen is set, otherwise
+// the agent of an upstream.
 type Hosted struct {
 	VM         burdockid.VM         `toml:"vm" json:"vm"`
 	DataCentre burdockid.DataCentre `toml:"dataCentre" json:"dataCentre"`
-	// IP is the VM's own address.
+	// IP is the VM's address.
 	IP string `toml:"ip" json:"ip"`
-	// CallerListen and ReadyListen are an entry's IP:port for callers and for
-	// the platform's question whether it is ready.
+	// CallerListen and ReadyListen are an entry's IP:port for callers and for the
+	// platform's readiness probe.
 	CallerListen string `toml:"callerListen" json:"callerListen,omitempty"`
 	ReadyListen  string `toml:"readyListen" json:"readyListen,omitempty"`
-	// UpstreamAddress is the IP:port of the upstream beside an agent.
+	// UpstreamAddress is the IP:port of the agent's upstream.
 	UpstreamAddress string            `toml:"upstreamAddress" json:"upstreamAddress,omitempty"`
 	UpstreamService burdockid.Service `toml:"upstreamService" json:"upstreamService,omitempty"`
-	// PeerPort is for the system's own processes, the same on all VMs.
+	// PeerPort is the port for connections between the system's processes, the same on
+	// all VMs.
 	PeerPort     int    `toml:"peerPort" json:"peerPort"`
 	AdminPort    int    `toml:"adminPort" json:"adminPort"`
 	StoreAddress string `toml:"storeAddress" json:"storeAddress"`
-	// StoreHistoryMillis is for how long the store keeps its history; 0 if it is not
-	// known.
+	// StoreHistoryMillis is how long the store keeps its history; 0 means unknown.
 	StoreHistoryMillis burdockclock.Millis `toml:"storeHistoryMillis" json:"storeHistoryMillis,omitempty"`
-	// GraceMillis is the time from the signal to stop to the end.
+	// GraceMillis is the time from the stop signal until the process must have ended.
 	GraceMillis burdockclock.Millis `toml:"graceMillis" json:"graceMillis"`
-	// QuarantineMillis is how long an entry keeps a request from upstreams after it
-	// has crashed some.
+	// QuarantineMillis is how long an entry refuses to send a request to upstreams
+	// after it has crashed some.
 	QuarantineMillis burdockclock.Millis `toml:"quarantineMillis" json:"quarantineMillis"`
 	// MemoryMB is the memory that the process may use, in megabytes.
 	MemoryMB int `toml:"memoryMB" json:"memoryMB"`
-	// LinkMbps is what the VM's link carries, in megabits a second; 0 if it is not
-	// known.
+	// LinkMbps is the capacity of the VM's network link in megabits per second; 0 means
+	// unknown.
 	LinkMbps float64 `toml:"linkMbps" json:"linkMbps,omitempty"`
 	LogLevel string  `toml:"logLevel" json:"logLevel"`
 }
@@ -57,7 +57,7 @@
 	maxHistory      = burdockclock.Hour
 )
 
-// SetDefaults fills in what holds when a file leaves a key out.
+// SetDefaults sets the values of the keys that a file may leave out.
 func (h *Hosted) SetDefaults() {
 	h.AdminPort = defaultAdminPort
 	h.GraceMillis = defaultHostedGrace
@@ -66,8 +66,8 @@
 	h.LogLevel = defaultLogLevel
 }
 
-// LoadHosted reads the settings of a process on a site that is hosted. The
-// error is a *burdockfinding.Error that holds every finding with its place.
+// LoadHosted reads the settings of a process on a hosted site. The error is a
+// *burdockfinding.Error with every finding and its line.
 func LoadHosted(file string, data []byte) (Hosted, error) {
 	var h Hosted
 	if err := load(file, data, &h); err != nil {
@@ -77,21 +77,21 @@
 }
 
 // RestartRequired returns the keys whose values differ between h, the settings in
-// force, and now, the settings read from the file, and that take effect only after a
+// force, and updated, the settings read from the file, and that take effect only after a
 // restart. That is every key except the log level, which applies at once.
-func (h Hosted) RestartRequired(now Hosted) []string {
-	now.LogLevel = h.LogLevel
-	inForce, read := reflect.ValueOf(h), reflect.ValueOf(now)
+func (h Hosted) RestartRequired(updated Hosted) []string {
+	updated.LogLevel = h.LogLevel
+	before, after := reflect.ValueOf(h), reflect.ValueOf(updated)
 	var keys []string
-	for i := range inForce.NumField() {
-		if !inForce.Field(i).Equal(read.Field(i)) {
-			keys = append(keys, inForce.Type().Field(i).Tag.Get("toml"))
+	for i := range before.NumField() {
+		if !before.Field(i).Equal(after.Field(i)) {
+			keys = append(keys, before.Type().Field(i).Tag.Get("toml"))
 		}
 	}
 	return keys
 }
 
-// Check returns what is wrong with the settings, by key.
+// Check returns the findings about the settings. Each names its key.
 func (h *Hosted) Check() []burdockfinding.Finding {
 	c := &checker{}
 	burdockrule.Name(&c.Checker, "vm", h.VM)
--- a/internal/config/burdocksettings/hosted_test.go
+++ b/internal/config/burdocksettings/hosted_test.go
@@ -26,11 +26,11 @@
 		t.Fatal(err)
 	}
 	if got.CallerListen != "10.1.0.40:8227" || got.AdminPort != defaultAdminPort || got.LogLevel != defaultLogLevel {
-		t.Errorf("got %+v, want the file's listener and the defaults", got)
+		t.Errorf("got %+v, want the file's listener and the defaults of missing keys", got)
 	}
 }
 
-// All that is wrong is reported at once, each with its line.
+// All findings are reported at once, each with its line.
 func TestHostedFindings(t *testing.T) {
 	text := strings.NewReplacer(
 		`ip = "10.1.0.40"`, `zone = "hall-a"`,
@@ -57,17 +57,17 @@
 	}
 }
 
-// Settings change while the process runs. Its log level is taken over; of the
-// others it says which need a new start.
+// Settings that change while the process runs take effect only after a restart, except
+// the log level. An operator must learn which of the changed keys are affected.
 func TestRestartRequired(t *testing.T) {
 	inForce := Hosted{VM: "vm-1", PeerPort: 7000, LogLevel: "info"}
-	now := inForce
-	now.LogLevel = "debug"
-	if got := inForce.RestartRequired(now); len(got) != 0 {
-		t.Errorf("another log level: got %q, want none", got)
+	updated := inForce
+	updated.LogLevel = "debug"
+	if got := inForce.RestartRequired(updated); len(got) != 0 {
+		t.Errorf("changed log level: got %q, want no keys", got)
 	}
-	now.PeerPort, now.StoreAddress = 7001, "10.0.0.1:80"
-	if got, want := inForce.RestartRequired(now), []string{"peerPort", "storeAddress"}; !slices.Equal(got, want) {
-		t.Errorf("other addresses: got %q, want %q", got, want)
+	updated.PeerPort, updated.StoreAddress = 7001, "10.0.0.1:80"
+	if got, want := inForce.RestartRequired(updated), []string{"peerPort", "storeAddress"}; !slices.Equal(got, want) {
+		t.Errorf("changed addresses: got %q, want %q", got, want)
 	}
 }
--- a/internal/config/burdocksettings/load.go
+++ b/internal/config/burdocksettings/load.go
@@ -5,8 +5,8 @@
 	"burdockbend.example/burdockbend/internal/config/burdocktoml"
 )
 
-// LoadEntry reads the settings of an entry. The error is a
-// *burdockfinding.Error that holds every finding with its place.
+// LoadEntry reads the settings of an entry. The error is a *burdockfinding.Error with
+// every finding and its line.
 func LoadEntry(file string, data []byte) (Entry, error) {
 	var e Entry
 	if err := load(file, data, &e); err != nil {
@@ -15,8 +15,8 @@
 	return e, nil
 }
 
-// LoadAgent reads the settings of an agent. The error is a
-// *burdockfinding.Error that holds every finding with its place.
+// LoadAgent reads the settings of an agent. The error is a *burdockfinding.Error with
+// every finding and its line.
 func LoadAgent(file string, data []byte) (Agent, error) {
 	var a Agent
 	if err := load(file, data, &a); err != nil {
@@ -25,12 +25,12 @@
 	return a, nil
 }
 
-// checked is settings that can be checked once they are decoded.
-type checked interface {
+// checkable is settings that are checked after they are decoded.
+type checkable interface {
 	Check() []burdockfinding.Finding
 }
 
-func load(file string, data []byte, target checked) error {
+func load(file string, data []byte, target checkable) error {
 	doc := burdocktoml.Decode(file, data, target)
 	if !doc.Broken() {
 		doc.Report(target.Check())
--- a/internal/config/burdocksettings/load_test.go
+++ b/internal/config/burdocksettings/load_test.go
@@ -43,10 +43,10 @@
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if entry, err := LoadEntry("f", data); err == nil && len(entry.Check()) > 0 {
-			t.Errorf("LoadEntry took settings with findings: %v", entry.Check())
+			t.Errorf("LoadEntry accepted settings with findings: %v", entry.Check())
 		}
 		if agent, err := LoadAgent("f", data); err == nil && len(agent.Check()) > 0 {
-			t.Errorf("LoadAgent took settings with findings: %v", agent.Check())
+			t.Errorf("LoadAgent accepted settings with findings: %v", agent.Check())
 		}
 	})
 }
--- a/internal/config/burdocksettings/settings.go
+++ b/internal/config/burdocksettings/settings.go
@@ -1,6 +1,6 @@
-// Package burdocksettings holds the settings of the system's processes. They
-// are read once, when a process starts; what operators change while it runs
-// is in profiles and membership.
+// Package burdocksettings contains the settings of the system's processes. A process
+// reads them when it starts. What operators change at run time is in profiles and
+// membership.
 package burdocksettings
 
 import (
@@ -9,39 +9,38 @@
 	"burdockbend.example/burdockbend/internal/config/burdockmember"
 )
 
-// Common is what every process of the system needs to know.
+// Common is the settings that entries and agents share.
 type Common struct {
 	Site       string               `toml:"site" json:"site"`
 	DataCentre burdockid.DataCentre `toml:"dataCentre" json:"dataCentre"`
 	VM         burdockid.VM         `toml:"vm" json:"vm"`
-	// PeerListen is the IP:port for the system's own processes.
+	// PeerListen is the IP:port for connections from the system's other processes.
 	PeerListen string `toml:"peerListen" json:"peerListen"`
 	// AdminListen is the IP:port for operators: state dump, metrics, health.
 	AdminListen string `toml:"adminListen" json:"adminListen"`
 	// StoreAddresses are the IP:port addresses of the configuration store.
 	StoreAddresses []string `toml:"storeAddresses" json:"storeAddresses"`
-	// Peers are the IP:port addresses of some entries. A process that starts
-	// while the store is out gets its configuration from one of them.
+	// Peers are the IP:port addresses of some entries. A process that starts while the
+	// store is unavailable gets its configuration from one of them.
 	Peers []string `toml:"peers" json:"peers,omitempty"`
 	// MembershipAddress is the IP:port of the platform's membership list.
 	MembershipAddress string `toml:"membershipAddress" json:"membershipAddress"`
 	LogLevel          string `toml:"logLevel" json:"logLevel"`
-	// PlainText is empty, or PlainTextAccepted in place of TLS.
+	// PlainText is empty, or PlainTextAccepted to run without TLS.
 	PlainText string `toml:"plainText" json:"plainText,omitempty"`
 	TLS       TLS    `toml:"tls" json:"tls"`
 	Limits    Limits `toml:"limits" json:"limits"`
 }
 
-// PlainTextAccepted is what the settings must say, word for word, before
-// the system's own processes talk over TCP without TLS. A bare switch could
-// be set by mistake; these words can't.
+// PlainTextAccepted is the exact value of PlainText that allows the system's processes
+// to connect to each other without TLS. Unlike a boolean, it can't be set by mistake.
 const PlainTextAccepted = "accepted on this network"
 
-// TLSModeMutual is the one TLS mode: both ends show a certificate.
+// TLSModeMutual is the only TLS mode: client and server both present a certificate.
 const TLSModeMutual = "mutual"
 
-// TLS holds the keys with which the system's own processes know each other.
-// Cert, Key and CA each hold PEM text, or the path of a file with it.
+// TLS is the key material with which the system's processes authenticate each other.
+// Cert, Key and CA each contain PEM text or the path of a PEM file.
 type TLS struct {
 	Mode string `toml:"mode" json:"mode,omitempty"`
 	Cert string `toml:"cert" json:"cert,omitempty"`
@@ -49,7 +48,7 @@
 	CA   string `toml:"ca" json:"ca,omitempty"`
 }
 
-// Limits bound what one sender may cost a process.
+// Limits bounds the resources that connections and requests may take in a process.
 type Limits struct {
 	MaxHeaderBytes          int                 `toml:"maxHeaderBytes" json:"maxHeaderBytes"`
 	MaxBodyBytes            int64               `toml:"maxBodyBytes" json:"maxBodyBytes"`
@@ -65,23 +64,23 @@
 	Common
 	// Listen is the IP:port for callers.
 	Listen string `toml:"listen" json:"listen"`
-	// DrainGraceMillis bounds the time for requests in flight on a planned
-	// stop; the graceMillis of a request's profile holds when it is shorter.
+	// DrainGraceMillis limits how long a planned stop waits for requests in flight. A
+	// shorter graceMillis in a request's profile takes precedence.
 	DrainGraceMillis burdockclock.Millis `toml:"drainGraceMillis" json:"drainGraceMillis"`
 }
 
-// Agent is the settings of the agent beside one upstream.
+// Agent is the settings of the agent of one upstream.
 type Agent struct {
 	Common
 	Upstream burdockid.Upstream `toml:"upstream" json:"upstream"`
-	// EngineAddress is the IP:port of the upstream itself.
+	// EngineAddress is the IP:port of the upstream's engine.
 	EngineAddress string             `toml:"engineAddress" json:"engineAddress"`
 	Kind          burdockmember.Kind `toml:"kind" json:"kind"`
-	// Slots is the number of requests that the upstream runs at a time.
+	// Slots is the number of requests that the upstream runs concurrently.
 	Slots int `toml:"slots" json:"slots"`
-	// Fenced says that the engine refuses an order with an old fencing number.
+	// Fenced reports whether the engine refuses an order with an outdated fencing number.
 	Fenced bool `toml:"fenced" json:"fenced"`
-	// DrainGraceMillis bounds the time for requests in flight on a planned
-	// stop; the graceMillis of the service's profile holds when it is shorter.
+	// DrainGraceMillis limits how long a planned stop waits for requests in flight. A
+	// shorter graceMillis in the service's profile takes precedence.
 	DrainGraceMillis burdockclock.Millis `toml:"drainGraceMillis" json:"drainGraceMillis"`
 }
--- a/internal/config/burdocksettings/tls.go
+++ b/internal/config/burdocksettings/tls.go
@@ -17,12 +17,12 @@
 
 const pemStart = "-----BEGIN "
 
-// isInline reports whether a setting holds PEM text rather than a path.
+// isInline reports whether a setting contains PEM text rather than a path.
 func isInline(setting string) bool {
 	return strings.HasPrefix(strings.TrimSpace(setting), pemStart)
 }
 
-// tls checks what can be checked without reading a file.
+// tls checks the settings as far as possible without reading files.
 func (c *checker) tls(t TLS) {
 	if t.Mode != TLSModeMutual {
 		c.Add("tls.mode", "is not set to a known mode", `"mutual"`)
@@ -46,13 +46,13 @@
 	}
 }
 
-// Configs returns the TLS configurations of a server and of a client among
-// the system's own processes.
+// Configs returns the TLS configurations for a server and for a client, for connections
+// between the system's processes.
 //
-// A peer is known by a certificate of the site's own authority, not by its
-// IP number: VMs are replaced at any time, and a new one has a new number.
-// That is enough as long as the authority signs for nobody but the system's
-// processes; a key that leaks can pose as any of them until the authority is
+// A peer is authenticated by a certificate of the site's own certificate authority, not
+// by its name or IP address: VMs are replaced at any time, and a new VM has a new address.
+// This is sufficient as long as the authority signs only for the system's processes.
+// With a leaked key, an attacker can impersonate any of them until the authority is
 // replaced.
 func (t TLS) Configs() (server, client *tls.Config, err error) {
 	pair, pool, err := t.load()
@@ -68,56 +68,56 @@
 	client = &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		Certificates: []tls.Certificate{pair},
-		// The check of the name is left out, as said above, and with it goes
-		// the library's own check of the chain; VerifyConnection makes it.
+		// Go can skip the host name check (see above) only together with the check
+		// of the certificate chain. VerifyConnection checks the chain instead.
 		InsecureSkipVerify: true,
-		VerifyConnection:   func(state tls.ConnectionState) error { return verify(state, pool) },
+		VerifyConnection:   func(state tls.ConnectionState) error { return verifyServer(state, pool) },
 	}
 	return server, client, nil
 }
 
 func (t TLS) load() (tls.Certificate, *x509.CertPool, error) {
-	var material [3][]byte
+	var pems [3][]byte
 	for i, setting := range []string{t.Cert, t.Key, t.CA} {
-		pem, err := read(setting)
+		pem, err := readPEM(setting)
 		if err != nil {
 			return tls.Certificate{}, nil, err
 		}
-		material[i] = pem
+		pems[i] = pem
 	}
-	pair, err := tls.X509KeyPair(material[0], material[1])
+	pair, err := tls.X509KeyPair(pems[0], pems[1])
 	if err != nil {
-		return tls.Certificate{}, nil, ErrTLS.Wrap(err, "tls.cert and tls.key")
+		return tls.Certificate{}, nil, ErrTLS.Wrap(err, "loading the key pair of tls.cert and tls.key")
 	}
 	pool := x509.NewCertPool()
-	if !pool.AppendCertsFromPEM(material[2]) {
-		return tls.Certificate{}, nil, ErrTLS.New("tls.ca holds no certificate")
+	if !pool.AppendCertsFromPEM(pems[2]) {
+		return tls.Certificate{}, nil, ErrTLS.New("tls.ca contains no certificate")
 	}
 	return pair, pool, nil
 }
 
-func read(setting string) ([]byte, error) {
+func readPEM(setting string) ([]byte, error) {
 	if isInline(setting) {
 		return []byte(setting), nil
 	}
 	pem, err := os.ReadFile(setting)
 	if err != nil {
-		return nil, ErrTLS.Wrap(err, "reading a key file")
+		return nil, ErrTLS.Wrap(err, "reading a PEM file of the TLS settings")
 	}
 	return pem, nil
 }
 
-// verify checks that a server's chain ends at the site's own authority.
-func verify(state tls.ConnectionState, pool *x509.CertPool) error {
+// verifyServer checks that a server's certificate chain ends at the site's authority.
+func verifyServer(state tls.ConnectionState, pool *x509.CertPool) error {
 	if len(state.PeerCertificates) == 0 {
-		return ErrTLS.New("the server showed no certificate")
+		return ErrTLS.New("the server presented no certificate")
 	}
 	options := x509.VerifyOptions{Roots: pool, Intermediates: x509.NewCertPool()}
 	for _, cert := range state.PeerCertificates[1:] {
 		options.Intermediates.AddCert(cert)
 	}
 	if _, err := state.PeerCertificates[0].Verify(options); err != nil {
-		return ErrTLS.Wrap(err, "the server is not of this site")
+		return ErrTLS.Wrap(err, "the server's certificate does not verify against the site's authority")
 	}
 	return nil
 }
--- a/internal/config/burdocksettings/tls_test.go
+++ b/internal/config/burdocksettings/tls_test.go
@@ -9,15 +9,15 @@
 	"burdockbend.example/burdockbend/internal/proof/burdockauthority"
 )
 
-// settings returns the settings of a process that signer signed and that
-// trusts trusted.
-func settings(t *testing.T, signer, trusted *burdockauthority.Authority) TLS {
+// tlsSettings returns the settings of a process whose certificate is from signer and
+// that trusts the authority trusted.
+func tlsSettings(t *testing.T, signer, trusted *burdockauthority.Authority) TLS {
 	t.Helper()
 	pair := signer.Issue(t)
 	return TLS{Mode: TLSModeMutual, Cert: pair.Cert, Key: pair.Key, CA: trusted.PEM()}
 }
 
-// handshake returns the error of each end.
+// handshake connects a client to a server and returns the error of each.
 func handshake(t *testing.T, server, client *tls.Config) (serverErr, clientErr error) {
 	t.Helper()
 	listener, err := tls.Listen("tcp", "127.0.0.1:0", server)
@@ -33,22 +33,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	answered := make(chan error, 1)
-	go acceptedEnd{accepted, answered}.run()
+	result := make(chan error, 1)
+	go serverConn{accepted, result}.run()
 	clientErr = exchange(tls.Client(dialled, client))
-	return <-answered, clientErr
+	return <-result, clientErr
 }
 
-// acceptedEnd is the server's end of one connection.
-type acceptedEnd struct {
-	conn     net.Conn
-	answered chan error
+// serverConn is the server's side of a connection.
+type serverConn struct {
+	conn   net.Conn
+	result chan error
 }
 
-func (e acceptedEnd) run() { e.answered <- exchange(e.conn) }
+func (c serverConn) run() { c.result <- exchange(c.conn) }
 
-// exchange sends a byte and waits for one, as a client learns only after its
-// own part of the handshake that the server has refused it.
+// exchange writes a byte and reads one. The read is needed because in TLS 1.3 a client
+// finishes its handshake before it learns that the server has rejected its certificate.
 func exchange(conn net.Conn) error {
 	defer conn.Close()
 	_ = conn.SetDeadline(time.Now().Add(10 * time.Second))
@@ -59,39 +59,39 @@
 	return err
 }
 
-// A process of another site, or anyone with a certificate of another
-// authority, opens a connection to an inner port, or answers in place of an
-// agent. It must be turned away at the handshake, whichever end it is at, or
-// it could give orders to engines or read prompts.
-func TestOnlyTheSitesOwnAuthorityIsTrusted(t *testing.T) {
-	ours, theirs := burdockauthority.New(t), burdockauthority.New(t)
-	server, client, err := settings(t, ours, ours).Configs()
+// A process with a certificate of another authority, such as one of another site,
+// connects to an internal port or answers in place of an agent. The handshake must fail
+// whether it is the client or the server; otherwise it could give orders to engines or
+// read prompts.
+func TestOnlySiteAuthorityIsTrusted(t *testing.T) {
+	site, other := burdockauthority.New(t), burdockauthority.New(t)
+	server, client, err := tlsSettings(t, site, site).Configs()
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The stranger trusts us, so that only our own check can refuse it.
-	otherServer, otherClient, err := settings(t, theirs, ours).Configs()
+	// The other process trusts the site, so only the site's check can reject it.
+	otherServer, otherClient, err := tlsSettings(t, other, site).Configs()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if serverErr, clientErr := handshake(t, server, client); serverErr != nil || clientErr != nil {
-		t.Errorf("two of ours: errors = %v, %v, want none", serverErr, clientErr)
+		t.Errorf("two processes of the site: errors = %v, %v, want none", serverErr, clientErr)
 	}
 	if serverErr, _ := handshake(t, server, otherClient); serverErr == nil {
-		t.Error("a strange client: no error at our server, want one")
+		t.Error("client of another authority: no error at the server, want one")
 	}
-	bare := &tls.Config{InsecureSkipVerify: true}
-	if serverErr, _ := handshake(t, server, bare); serverErr == nil {
-		t.Error("a client without certificate: no error at our server, want one")
+	noCert := &tls.Config{InsecureSkipVerify: true}
+	if serverErr, _ := handshake(t, server, noCert); serverErr == nil {
+		t.Error("client without a certificate: no error at the server, want one")
 	}
 	if _, clientErr := handshake(t, otherServer, client); clientErr == nil {
-		t.Error("a strange server: no error at our client, want one")
+		t.Error("server of another authority: no error at the client, want one")
 	}
 }
 
-func TestConfigsNeedWholeKeys(t *testing.T) {
-	ours := burdockauthority.New(t)
-	good, other := settings(t, ours, ours), settings(t, ours, ours)
+func TestConfigsRejectsInvalidKeys(t *testing.T) {
+	site := burdockauthority.New(t)
+	good, other := tlsSettings(t, site, site), tlsSettings(t, site, site)
 	for name, bad := range map[string]TLS{
 		"key of another certificate": {Cert: good.Cert, Key: other.Key, CA: good.CA},
 		"authority without PEM":      {Cert: good.Cert, Key: good.Key, CA: "-----BEGIN "},
