--- a/internal/config/burdockprofile/check.go
+++ b/internal/config/burdockprofile/check.go
@@ -10,24 +10,24 @@
 	"burdockbend.example/burdockbend/internal/config/burdocktoml"
 )
 
-// Bounds of what a profile may ask for. A value beyond them is a slip of the
-// pen, such as seconds for milliseconds, more often than an intention.
+// Bounds of the accepted values. A value beyond them is more often a mistake, such as
+// a wrong unit, than intended.
 const (
 	maxClasses = 16
-	maxSpan    = 24 * burdockclock.Hour
-	// A share far below the others would make the virtual time of one token
-	// outgrow what a float can tell apart.
+	maxMillis  = 24 * burdockclock.Hour
+	// A customer's virtual time advances by cost divided by share. With a share far
+	// below the others it exceeds the precision of a float64.
 	minShare    = 0.001
 	maxShare    = 1000000.0
 	maxWeight   = 1e6
 	maxAttempts = 16
 	maxQueued   = 1 << 20
-	// A budget above one retry per success would let retries alone double
-	// the load of upstreams that already refuse.
+	// With more than one retry per success, retries alone can double the load on
+	// upstreams that already refuse requests.
 	maxBudgetRatio = 1.0
 )
 
-// Check returns what is wrong with the profiles, by key.
+// Check returns the findings about the profiles. Each names its key.
 func Check(profiles []Profile) []burdockfinding.Finding {
 	var c burdockrule.Checker
 	if len(profiles) == 0 {
@@ -47,7 +47,7 @@
 func (p Profile) check(c *burdockrule.Checker, key string) {
 	p.checkClasses(c, key)
 	p.checkShares(c, key)
-	p.Stop.check(c, key+".stop", p.longestDeadline())
+	p.Stop.check(c, key+".stop", p.maxDeadline())
 	p.Experts.check(c, key+".experts")
 	p.Retry.check(c, key+".retry")
 	burdockrule.Between(c, key+".queue.maxQueued", p.Queue.MaxQueued, 1, maxQueued)
@@ -71,9 +71,9 @@
 }
 
 func (k Class) check(c *burdockrule.Checker, key string) {
-	burdockrule.Between(c, key+".maxStarvationMillis", k.MaxStarvationMillis, 1, maxSpan)
-	burdockrule.Between(c, key+".deadlineMillis", k.DeadlineMillis, 1, maxSpan)
-	burdockrule.Between(c, key+".maxWaitMillis", k.MaxWaitMillis, 1, maxSpan)
+	burdockrule.Between(c, key+".maxStarvationMillis", k.MaxStarvationMillis, 1, maxMillis)
+	burdockrule.Between(c, key+".deadlineMillis", k.DeadlineMillis, 1, maxMillis)
+	burdockrule.Between(c, key+".maxWaitMillis", k.MaxWaitMillis, 1, maxMillis)
 	if k.MaxWaitMillis > k.DeadlineMillis {
 		c.Add(key+".maxWaitMillis", fmt.Sprintf("is %d, beyond the deadline of %d", k.MaxWaitMillis, k.DeadlineMillis), "at most deadlineMillis")
 	}
@@ -91,22 +91,22 @@
 	burdockrule.Between(c, key+".defaultShare", p.DefaultShare, minShare, maxShare)
 }
 
-// longestDeadline returns how long a request of the profile may be in flight.
-func (p Profile) longestDeadline() burdockclock.Millis {
-	var longest burdockclock.Millis
+// maxDeadline returns the longest deadline of the classes, which is how long a request of
+// the profile may be in flight.
+func (p Profile) maxDeadline() burdockclock.Millis {
+	var maxDeadline burdockclock.Millis
 	for _, class := range p.Classes {
-		longest = max(longest, class.DeadlineMillis)
+		maxDeadline = max(maxDeadline, class.DeadlineMillis)
 	}
-	return longest
+	return maxDeadline
 }
 
-// check asks for a grace time that covers the longest deadline. With a
-// shorter one a planned stop would cut off a request in flight, and its
-// caller would lose an answer that was under way.
-func (s Stop) check(c *burdockrule.Checker, key string, longest burdockclock.Millis) {
-	burdockrule.Between(c, key+".graceMillis", s.GraceMillis, 1, maxSpan)
-	if s.GraceMillis > 0 && s.GraceMillis < longest {
-		c.Add(key+".graceMillis", fmt.Sprintf("is %d, but a request may be in flight for %d", s.GraceMillis, longest), "at least the longest deadlineMillis of the classes")
+// check requires a grace time of at least maxDeadline. With a shorter one, a planned stop
+// ends requests in flight, and their callers lose answers that are already streaming.
+func (s Stop) check(c *burdockrule.Checker, key string, maxDeadline burdockclock.Millis) {
+	burdockrule.Between(c, key+".graceMillis", s.GraceMillis, 1, maxMillis)
+	if s.GraceMillis > 0 && s.GraceMillis < maxDeadline {
+		c.Add(key+".graceMillis", fmt.Sprintf("is %d, but a request may be in flight for %d", s.GraceMillis, maxDeadline), "at least the longest deadlineMillis of the classes")
 	}
 	burdockrule.OneOf(c, key+".queued", s.Queued, FinishQueued, RefuseQueued)
 }
@@ -117,7 +117,7 @@
 	if e.SkewWeight == 0 && e.CostWeight == 0 {
 		c.Add(key, "both weights are 0", "skewWeight or costWeight above 0")
 	}
-	burdockrule.Between(c, key+".holdMillis", e.HoldMillis, 0, maxSpan)
+	burdockrule.Between(c, key+".holdMillis", e.HoldMillis, 0, maxMillis)
 }
 
 func (r Retry) check(c *burdockrule.Checker, key string) {
--- a/internal/config/burdockprofile/default.go
+++ b/internal/config/burdockprofile/default.go
@@ -2,7 +2,7 @@
 
 import "burdockbend.example/burdockbend/internal/base/burdockclock"
 
-// The values of keys that a profile leaves out.
+// Defaults of the keys that a profile may leave out.
 const (
 	defaultShare               = 1.0
 	defaultMaxStarvationMillis = 10 * burdockclock.Second
@@ -18,7 +18,7 @@
 	defaultMaxQueued           = 256
 )
 
-// SetDefaults fills in what holds when a file leaves a key out.
+// SetDefaults sets the values of the keys that a file may leave out.
 func (p *Profile) SetDefaults() {
 	p.DefaultShare = defaultShare
 	p.Stop = Stop{GraceMillis: defaultGraceMillis, Queued: defaultQueued}
@@ -27,12 +27,12 @@
 	p.Queue = Queue{MaxQueued: defaultMaxQueued}
 }
 
-// SetDefaults fills in what holds when a file leaves a key out.
+// SetDefaults sets the values of the keys that a file may leave out.
 func (k *Class) SetDefaults() {
 	k.MaxStarvationMillis = defaultMaxStarvationMillis
 	k.MaxWaitMillis = defaultMaxWaitMillis
 	k.DeadlineMillis = defaultDeadlineMillis
 }
 
-// SetDefaults fills in what holds when a file leaves a key out.
+// SetDefaults sets the values of the keys that a file may leave out.
 func (s *Share) SetDefaults() { s.Share = defaultShare }
--- a/internal/config/burdockprofile/entity.go
+++ b/internal/config/burdockprofile/entity.go
@@ -7,7 +7,7 @@
 	"burdockbend.example/burdockbend/internal/config/burdockentity"
 )
 
-// Split returns the store's entity of each profile.
+// Split encodes each profile as an entity of the store.
 func Split(profiles []Profile) ([]burdockentity.Entity, error) {
 	entities := make([]burdockentity.Entity, 0, len(profiles))
 	for _, p := range profiles {
@@ -20,8 +20,8 @@
 	return entities, nil
 }
 
-// Assemble returns the profiles among entities, by name. A key that a stored
-// profile leaves out has its default.
+// Assemble decodes the profiles among entities and sorts them by name. A key that a
+// stored profile lacks gets its default.
 func Assemble(entities []burdockentity.Entity) ([]Profile, error) {
 	var profiles []Profile
 	for _, e := range burdockentity.Select(entities, burdockentity.ProfilePrefix) {
--- a/internal/config/burdockprofile/profile.go
+++ b/internal/config/burdockprofile/profile.go
@@ -1,7 +1,7 @@
-// Package burdockprofile holds the operators' profiles: what is urgent, who
-// gets which share, what a planned stop does with queued work, and how step
-// skew is weighed against the cost of moving experts. Each service of the
-// fleet runs under one profile.
+// Package burdockprofile defines profiles, the policies that operators set: priority
+// classes, customers' shares, what a planned stop does with queued requests, retry and
+// queue limits, and how step skew is weighed against the cost of moving experts. Each
+// service runs under one profile.
 package burdockprofile
 
 import (
@@ -9,15 +9,15 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// Profile is one named set of policies.
+// Profile is a named set of policies.
 type Profile struct {
 	Name burdockid.Profile `toml:"name" json:"name"`
-	// Classes stand from most to least urgent.
+	// Classes are ordered from most to least urgent.
 	Classes []Class `toml:"class" json:"class"`
-	// DefaultClass is the class of a request that names none.
+	// DefaultClass is the class of a request that does not specify one.
 	DefaultClass string  `toml:"defaultClass" json:"defaultClass"`
 	Shares       []Share `toml:"share" json:"share,omitempty"`
-	// DefaultShare is the share of a customer that Shares does not name.
+	// DefaultShare is the share of a customer that Shares does not list.
 	DefaultShare float64 `toml:"defaultShare" json:"defaultShare"`
 	Stop         Stop    `toml:"stop" json:"stop"`
 	Experts      Experts `toml:"experts" json:"experts"`
@@ -25,21 +25,21 @@
 	Queue        Queue   `toml:"queue" json:"queue"`
 }
 
-// Class is one priority class.
+// Class is a priority class.
 type Class struct {
 	Name string `toml:"name" json:"name"`
-	// MaxStarvationMillis bounds how long more urgent classes may hold back
-	// the oldest request of this one. It has no use in the first class.
+	// MaxStarvationMillis limits how long more urgent classes may delay the oldest
+	// request of this class. It has no effect in the first class.
 	MaxStarvationMillis burdockclock.Millis `toml:"maxStarvationMillis" json:"maxStarvationMillis"`
-	// MaxWaitMillis bounds the time in the queue; a request that would wait
+	// MaxWaitMillis limits the time in the queue. A request that is expected to wait
 	// longer is refused at once.
 	MaxWaitMillis burdockclock.Millis `toml:"maxWaitMillis" json:"maxWaitMillis"`
-	// DeadlineMillis is the time for the whole answer when the caller states
-	// no deadline of its own.
+	// DeadlineMillis is the time limit for the complete answer when the caller
+	// specifies no deadline.
 	DeadlineMillis burdockclock.Millis `toml:"deadlineMillis" json:"deadlineMillis"`
 }
 
-// Share is the weight of one customer among those with work waiting.
+// Share is the weight of a customer among the customers with queued requests.
 type Share struct {
 	Customer burdockid.Customer `toml:"customer" json:"customer"`
 	Share    float64            `toml:"share" json:"share"`
@@ -52,39 +52,40 @@
 const (
 	// FinishQueued runs queued requests within the grace time.
 	FinishQueued QueuedAction = "finish"
-	// RefuseQueued answers queued requests "not run" at once, so that the
-	// entry places them on another upstream.
+	// RefuseQueued answers queued requests "not run" at once. The entry then sends
+	// them to another upstream.
 	RefuseQueued QueuedAction = "refuse"
 )
 
-// Stop says how a process or upstream under this profile stops as planned.
+// Stop is the policy for a planned stop of a process or upstream.
 type Stop struct {
-	// GraceMillis bounds the time for requests in flight, and for queued ones
-	// that are finished. It covers the longest deadline of the classes.
+	// GraceMillis limits the time for requests in flight and, with FinishQueued, for
+	// queued requests. It is at least the longest deadline of the classes.
 	GraceMillis burdockclock.Millis `toml:"graceMillis" json:"graceMillis"`
 	Queued      QueuedAction        `toml:"queued" json:"queued"`
 }
 
-// Experts is the exchange rate between the two costs of expert placement.
+// Experts weighs the two costs of expert placement against each other and limits how
+// often the expert map changes.
 type Experts struct {
-	// SkewWeight is what one millisecond of step time lost to skew counts.
+	// SkewWeight is the weight of one millisecond of step time lost to skew.
 	SkewWeight float64 `toml:"skewWeight" json:"skewWeight"`
-	// CostWeight is what one millisecond spent moving experts counts.
+	// CostWeight is the weight of one millisecond spent on moving experts.
 	CostWeight float64 `toml:"costWeight" json:"costWeight"`
-	// HoldMillis is the least time between two map changes of one group.
+	// HoldMillis is the minimum time between two map changes of a group.
 	HoldMillis burdockclock.Millis `toml:"holdMillis" json:"holdMillis"`
 }
 
-// Retry bounds what an entry offers again after "not run", or after a failure
-// of idempotent work.
+// Retry limits an entry's retries after the answer "not run" or after a failure of an
+// idempotent request.
 type Retry struct {
 	// BudgetRatio is the number of retries allowed per recent success.
 	BudgetRatio float64 `toml:"budgetRatio" json:"budgetRatio"`
-	// MaxAttempts counts the first offer as well.
+	// MaxAttempts includes the first attempt.
 	MaxAttempts int `toml:"maxAttempts" json:"maxAttempts"`
 }
 
-// Queue bounds the queue of one agent.
+// Queue limits the queue of one agent.
 type Queue struct {
 	MaxQueued int `toml:"maxQueued" json:"maxQueued"`
 }
--- a/internal/config/burdockprofile/profile_test.go
+++ b/internal/config/burdockprofile/profile_test.go
@@ -24,7 +24,7 @@
 	// profiles.toml:6: profile[0].clas: unknown key; want class
 }
 
-func TestDefaultsHoldForMissingKeys(t *testing.T) {
+func TestMissingKeysGetDefaults(t *testing.T) {
 	const file = "[[profile]]\nname = \"p\"\ndefaultClass = \"c\"\nstop.queued = \"finish\"\nclass = [{ name = \"c\" }]\n"
 	profiles, err := Parse("f", []byte(file))
 	if err != nil {
@@ -46,7 +46,7 @@
 		t.Fatal(err)
 	}
 	if got, want := assembled[0].Retry.MaxAttempts, defaultMaxAttempts; got != want {
-		t.Errorf("MaxAttempts of a stored profile without it = %d, want %d", got, want)
+		t.Errorf("MaxAttempts missing from a stored profile = %d, want %d", got, want)
 	}
 }
 
@@ -72,7 +72,7 @@
 			t.Fatal(err)
 		}
 		if findings := Check(assembled); len(findings) > 0 {
-			t.Errorf("Check after the store = %v, want none", findings)
+			t.Errorf("Check of profiles read back from the store = %v, want none", findings)
 		}
 	})
 }
