--- a/internal/config/burdocktoml/decode.go
+++ b/internal/config/burdocktoml/decode.go
@@ -11,14 +11,14 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Defaulter is a struct that knows what holds when a key is left out. It is
-// called before the keys of a table are decoded into the struct.
+// Defaulter is a struct that sets its own defaults. SetDefaults is called before a
+// table is decoded into the struct, so keys missing from the table keep their defaults.
 type Defaulter interface {
 	SetDefaults()
 }
 
-// The library's own decoder stops at the first value of a wrong type. This
-// one goes on, as an operator wants all of them at once.
+// decode fills target from tree. The library's decoder stops at the first value of a wrong
+// type; this one continues, because operators want to see all mistakes at once.
 func (d *Document) decode(tree map[string]any, target any) {
 	d.table("", reflect.ValueOf(target).Elem(), tree)
 }
@@ -41,10 +41,10 @@
 func (d *Document) unknownKey(path, key string, fields map[string]reflect.StructField) {
 	names := sortedKeys(fields)
 	want := "one of " + strings.Join(names, ", ")
-	if near := nearest(key, names); near != "" {
-		want = near
-		// The key meant is not also reported as missing.
-		d.reported[Join(path, near)] = true
+	if closest := closestName(key, names); closest != "" {
+		want = closest
+		// Prevents a second finding that the intended key is missing.
+		d.reported[Join(path, closest)] = true
 	}
 	d.add(Join(path, key), "unknown key", want)
 }
@@ -82,9 +82,9 @@
 			return
 		}
 	default:
-		panic("burdocktoml: no decoding into " + dst.Type().String())
+		panic("burdocktoml: unsupported type " + dst.Type().String())
 	}
-	d.add(path, "is "+describe(src), wanted(path, dst.Kind()))
+	d.add(path, "is "+describe(src), expectedValue(path, dst.Kind()))
 }
 
 func (d *Document) array(path string, dst reflect.Value, src []any) {
@@ -95,8 +95,8 @@
 	dst.Set(slice)
 }
 
-// number takes a whole number for a float as well. TOML knows nan and inf,
-// which no comparison of a check would catch.
+// number converts an integer or float to a float64. It rejects nan and inf, which are
+// valid TOML but which the comparisons of a check don't catch.
 func number(src any) (float64, bool) {
 	switch x := src.(type) {
 	case int64:
@@ -107,8 +107,8 @@
 	return 0, false
 }
 
-// Fields returns the fields of a struct by the key that decodes into each,
-// those of embedded structs included.
+// Fields returns the fields of a struct by their TOML keys, including those of embedded
+// structs.
 func Fields(t reflect.Type) map[string]reflect.StructField {
 	fields := map[string]reflect.StructField{}
 	for _, field := range reflect.VisibleFields(t) {
@@ -148,7 +148,7 @@
 	return "a value of an unknown type"
 }
 
-func wanted(path string, kind reflect.Kind) string {
+func expectedValue(path string, kind reflect.Kind) string {
 	switch kind {
 	case reflect.Struct:
 		return "a table"
--- a/internal/config/burdocktoml/document.go
+++ b/internal/config/burdocktoml/document.go
@@ -1,6 +1,6 @@
-// Package burdocktoml decodes TOML strictly and knows the line of every key,
-// so that each finding names its place. Whatever is wrong with a file is
-// collected and reported together.
+// Package burdocktoml decodes TOML strictly: unknown keys and values of a wrong type are
+// findings. It records the line of every key, gives each finding its line, and reports
+// all findings of a file together.
 package burdocktoml
 
 import (
@@ -10,12 +10,12 @@
 	"burdockbend.example/burdockbend/internal/base/burdockfinding"
 )
 
-// MaxBytes bounds a file. A fleet of 3,800 upstreams and as many customers
-// takes 1.2 MB; a file several times as long is none of ours, and decoding it
-// would cost a process its memory.
+// MaxBytes is the maximum size of a file. A fleet of 3,800 upstreams and as many customers
+// takes 1.2 MB. A file several times that size does not belong to this program, and
+// decoding it could exhaust the memory of the process.
 const MaxBytes = 4 << 20
 
-// Document is a decoded file: the lines of its keys, and its findings so far.
+// Document is a decoded file with the lines of its keys and its findings so far.
 type Document struct {
 	file     string
 	lines    map[string]int
@@ -24,9 +24,9 @@
 	broken   bool
 }
 
-// Decode fills target, a pointer to a struct, from data. The struct's toml
-// tags name the keys. Findings are kept in the Document; what could be
-// decoded is in target even so.
+// Decode fills target, a pointer to a struct, from data. The struct's toml tags name the
+// keys. The returned Document contains the findings. Values that could be decoded are in
+// target even when there are findings.
 func Decode(file string, data []byte, target any) *Document {
 	d := &Document{file: file, lines: map[string]int{}, reported: map[string]bool{}}
 	if len(data) > MaxBytes {
@@ -39,12 +39,13 @@
 	return d
 }
 
-// Broken reports whether the file is not TOML. What it means can't be checked
-// then, as every key after the mistake may be misread.
+// Broken reports whether the file as a whole could not be read: it is not valid TOML or
+// exceeds a limit. Its values must not be checked then, because keys after a syntax error
+// may be misread.
 func (d *Document) Broken() bool { return d.broken }
 
-// Line returns the line of a key, or of the nearest table around it when the
-// file does not have the key.
+// Line returns the line of a key. If the file lacks the key, it returns the line of the
+// innermost enclosing table or array that the file has, or else 1.
 func (d *Document) Line(key string) int {
 	for key != "" {
 		if line, ok := d.lines[key]; ok {
@@ -55,9 +56,9 @@
 	return 1
 }
 
-// Report takes in findings that know only their key, and places them. A
-// finding about a key that was already reported, or that lies within such a
-// key, is left out: it would only repeat the first one.
+// Report adds findings that name only their key, and sets their file and line. It omits
+// a finding about a key for which decoding already found a mistake, or about a key inside
+// such a key, because it only repeats that mistake.
 func (d *Document) Report(findings []burdockfinding.Finding) {
 	for _, f := range findings {
 		if d.isReported(f.Key) {
@@ -72,7 +73,7 @@
 // Findings returns the findings so far.
 func (d *Document) Findings() burdockfinding.List { return d.list }
 
-// Err returns nil, or a *burdockfinding.Error with all findings.
+// Err returns a *burdockfinding.Error with all findings, or nil if there are none.
 func (d *Document) Err() error { return d.list.Err() }
 
 func (d *Document) isReported(key string) bool {
@@ -94,7 +95,8 @@
 	d.list.Add(burdockfinding.Finding{File: d.file, Line: line, Key: key, What: what, Want: want})
 }
 
-// parent returns the path of the table or array around key.
+// parent returns the path of the table or array that contains key, or "" for a top-level
+// key.
 func parent(key string) string {
 	if strings.HasSuffix(key, "]") {
 		return key[:strings.LastIndexByte(key, '[')]
--- a/internal/config/burdocktoml/document_test.go
+++ b/internal/config/burdocktoml/document_test.go
@@ -8,7 +8,7 @@
 	"burdockbend.example/burdockbend/internal/base/burdockfinding"
 )
 
-// sample has a field of each kind that a file can decode into.
+// sample has a field of each supported type.
 type sample struct {
 	Base
 	Word   string   `toml:"word"`
@@ -20,7 +20,7 @@
 	Words  []string `toml:"words"`
 }
 
-// Base is embedded: its keys stand beside those of sample.
+// Base is embedded in sample: its keys are on the same level as those of sample.
 type Base struct {
 	Name string `toml:"name"`
 }
@@ -55,7 +55,7 @@
 ]
 `
 
-func TestDecodeFillsAndIndexes(t *testing.T) {
+func TestDecodeValuesAndLines(t *testing.T) {
 	var s sample
 	doc := Decode("sample.toml", []byte(sampleFile), &s)
 	if err := doc.Err(); err != nil {
@@ -65,7 +65,7 @@
 		t.Errorf("strings = %q, want %q", got, want)
 	}
 	if got, want := s.Inners[0].Real, 2.0; got != want {
-		t.Errorf("real from a whole number = %v, want %v", got, want)
+		t.Errorf("real decoded from an integer = %v, want %v", got, want)
 	}
 	if got, want := s.Inners[1].Parts[1].Parts[0].Real, 0.5; got != want {
 		t.Errorf("default real = %v, want %v", got, want)
@@ -89,12 +89,12 @@
 	}
 }
 
-func TestReportLeavesOutWhatRepeats(t *testing.T) {
+func TestReportOmitsRepeatedFindings(t *testing.T) {
 	var s sample
 	doc := Decode("f", []byte("wrod = \"x\"\ninner = 5\n"), &s)
 	doc.Report([]burdockfinding.Finding{
-		{Key: "word", What: "missing"},       // the misspelt key says it already
-		{Key: "inner.name", What: "missing"}, // lies in a value of a wrong type
+		{Key: "word", What: "missing"},       // already reported as the misspelt key
+		{Key: "inner.name", What: "missing"}, // inside a value of a wrong type
 		{Key: "on", What: "is off"},
 	})
 	want := "f:1: wrod: unknown key; want word\nf:1: on: is off\nf:2: inner: is the whole number 5; want a table"
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestTooLongFileIsRefusedUnread(t *testing.T) {
+func TestFileAboveMaxBytesIsRejected(t *testing.T) {
 	var s sample
 	doc := Decode("f", make([]byte, MaxBytes+1), &s)
 	if got, want := doc.Err().Error(), "f:1: is 4194305 bytes long; want at most 4194304"; got != want {
@@ -111,7 +111,7 @@
 	}
 }
 
-func TestSyntaxErrorsAreBounded(t *testing.T) {
+func TestSyntaxErrorsAreLimited(t *testing.T) {
 	var s sample
 	doc := Decode("f", []byte(strings.Repeat("word = !\n", 10*maxSyntaxFindings)), &s)
 	if got, want := strings.Count(doc.Err().Error(), "\n"), maxSyntaxFindings; got != want {
@@ -119,9 +119,9 @@
 	}
 }
 
-// A table with a key on each line of a long file kept the check busy for
-// minutes, as the library's time grows with the square of the keys.
-func TestCrowdedTableIsRefused(t *testing.T) {
+// A large file with a table of one key per line kept a check busy for minutes, because
+// the library's time is quadratic in the number of keys of a table.
+func TestTableWithTooManyKeysIsRejected(t *testing.T) {
 	var file strings.Builder
 	file.WriteString("[inner]\n")
 	for i := range maxKeys + 1 {
--- a/internal/config/burdocktoml/index.go
+++ b/internal/config/burdocktoml/index.go
@@ -7,8 +7,9 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// maxDepth bounds how deep keys are indexed. No file of ours is half as deep,
-// and a path per level of a deeply nested value would grow as its square.
+// maxDepth is the maximum nesting depth at which keys are indexed. No file of this program
+// is half as deep. Without a limit, the total length of the paths would be quadratic in
+// the depth of a deeply nested value.
 const maxDepth = 16
 
 // indexer records the line of each key of one document.
@@ -16,11 +17,11 @@
 	parser unstable.Parser
 	starts []int // offset of the start of each line
 	lines  map[string]int
-	counts map[string]int // elements seen of each array of tables
+	counts map[string]int // number of elements so far of each array of tables
 }
 
-// index returns the line of every key in data. It stops at the first syntax
-// error; parse reports that.
+// index returns the line of every key in data, by path. It stops at the first syntax
+// error, which parse reports.
 func index(data []byte) map[string]int {
 	x := &indexer{starts: lineStarts(data), lines: map[string]int{}, counts: map[string]int{}}
 	x.parser.Reset(data)
@@ -51,7 +52,7 @@
 	}
 }
 
-// line returns the line of a node; 0 when the parser kept no place for it.
+// line returns the line of a node, or 0 if the parser did not record its position.
 func (x *indexer) line(n *unstable.Node) int {
 	if n.Raw.Length == 0 {
 		return 0
@@ -65,7 +66,7 @@
 	}
 }
 
-// header records a table header and returns the path of its table.
+// header records the line of a table header and returns the path of the table.
 func (x *indexer) header(expr *unstable.Node, array bool) string {
 	path := ""
 	depth := 0
--- a/internal/config/burdocktoml/path.go
+++ b/internal/config/burdocktoml/path.go
@@ -13,7 +13,7 @@
 	return table + "." + key
 }
 
-// Item returns the path of element i of an array. The first is 0.
+// Item returns the path of element i of an array, counted from 0.
 func Item(array string, i int) string {
 	return array + "[" + strconv.Itoa(i) + "]"
 }
--- a/internal/config/burdocktoml/syntax.go
+++ b/internal/config/burdocktoml/syntax.go
@@ -10,29 +10,29 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// maxSyntaxFindings bounds how often a file is parsed anew. Whoever mends
-// that many mistakes will run the check again.
+// maxSyntaxFindings limits how often a file is parsed again after a syntax error. An
+// operator who fixes that many mistakes will run the check again anyway.
 const maxSyntaxFindings = 20
 
-// maxKeys bounds the keys of one table; none of ours has a twentieth of it.
-// The library compares each key with all others of its table, so that a file
-// of a few megabytes with one key a line would keep a check busy for minutes.
+// maxKeys is the maximum number of keys in a table. No table of this program has a
+// twentieth of it. The library compares each key with all others of its table, so a file
+// of a few megabytes with one key per line would keep a check busy for minutes.
 const maxKeys = 1000
 
-// recoverable matches a line that holds one whole "key = value". Without it
-// the lines around it still mean the same. A header, or a value that goes on
-// over several lines, can't be left out like that.
+// recoverable matches a line that starts with "key =". If the value ends on the same line
+// (see endsOnLine), the line can be removed without changing the meaning of the others.
+// That is not true of a table header or of a value that spans several lines.
 var recoverable = regexp.MustCompile(`^[ \t]*[A-Za-z0-9_."'-]+[ \t]*=`)
 
-// parse returns the document as a tree, and records its lines and syntax
-// errors. After a mistake within one line it goes on without that line, so
-// that several mistakes are reported at once.
+// parse returns the document as a tree and records the lines of its keys and its syntax
+// errors. It blanks a line with a syntax error and parses again where that is possible,
+// and so reports several errors at once.
 func (d *Document) parse(data []byte) map[string]any {
 	data = bytes.Clone(data)
-	last := 0
+	lastLine := 0
 	for range maxSyntaxFindings {
 		d.lines = index(data)
-		if d.isCrowded() {
+		if d.hasTooManyKeys() {
 			return nil
 		}
 		tree := map[string]any{}
@@ -42,18 +42,19 @@
 		}
 		d.broken = true
 		line := d.syntaxError(err)
-		if line <= last || !blank(data, line) {
+		if line <= lastLine || !blank(data, line) {
 			d.addAt(max(line, 1), "", "the lines after this one could not be checked", "")
 			return nil
 		}
-		last = line
+		lastLine = line
 	}
-	d.addAt(last, "", "the lines after this one were not checked, as there are so many mistakes", "")
+	d.addAt(lastLine, "", "the lines after this one were not checked, as there are so many mistakes", "")
 	return nil
 }
 
-// isCrowded reports, also as a finding, whether a table has too many keys.
-func (d *Document) isCrowded() bool {
+// hasTooManyKeys reports whether a table has more than maxKeys keys, and adds a finding if
+// so.
+func (d *Document) hasTooManyKeys() bool {
 	keys := map[string]int{}
 	for path := range d.lines {
 		if strings.HasSuffix(path, "]") {
@@ -70,7 +71,7 @@
 	return false
 }
 
-// syntaxError records err and returns its line; 0 when it has none.
+// syntaxError adds a finding for err and returns the line of err, or 0 if it has none.
 func (d *Document) syntaxError(err error) int {
 	what := "not TOML: " + strings.TrimPrefix(err.Error(), "toml: ")
 	var decodeErr *toml.DecodeError
@@ -83,7 +84,8 @@
 	return line
 }
 
-// blank overwrites one line with spaces and reports whether it could.
+// blank overwrites a line with spaces and reports whether it did. It leaves a line that
+// is not recoverable unchanged.
 func blank(data []byte, line int) bool {
 	starts := lineStarts(data)
 	if line < 1 || line > len(starts) {
@@ -102,12 +104,12 @@
 	return true
 }
 
-// endsOnLine reports whether the value on a line does not go on after it.
+// endsOnLine reports whether a value ends on the line on which it starts.
 func endsOnLine(text []byte) bool {
 	if bytes.Contains(text, []byte(`"""`)) || bytes.Contains(text, []byte(`'''`)) {
 		return false
 	}
-	opened := bytes.Count(text, []byte("[")) + bytes.Count(text, []byte("{"))
-	closed := bytes.Count(text, []byte("]")) + bytes.Count(text, []byte("}"))
-	return opened == closed
+	opening := bytes.Count(text, []byte("[")) + bytes.Count(text, []byte("{"))
+	closing := bytes.Count(text, []byte("]")) + bytes.Count(text, []byte("}"))
+	return opening == closing
 }
