--- a/internal/serve/burdockapi/problem.go
+++ b/internal/serve/burdockapi/problem.go
@@ -33,7 +33,7 @@
 	CodeAnswerCut        Code = "answerCut"
 	CodeKeyReused        Code = "idempotencyKeyReused"
 	CodeAnswerGone       Code = "answerGone"
-	CodeKeyHome          Code = "keyHomeMoving"
+	CodeKeyOwnerMoving   Code = "keyHomeMoving"
 	CodeNotReady         Code = "notReady"
 )
 
--- a/internal/serve/burdockentry/problem.go
+++ b/internal/serve/burdockentry/problem.go
@@ -58,7 +58,7 @@
 	case burdockwire.RefusedReason_REFUSED_REASON_UPSTREAM_DOWN:
 		problem.Code = burdockapi.CodeNoUpstream
 	case burdockwire.RefusedReason_REFUSED_REASON_KEY_NOT_HERE:
-		problem.Code = burdockapi.CodeKeyHome
+		problem.Code = burdockapi.CodeKeyOwnerMoving
 	case burdockwire.RefusedReason_REFUSED_REASON_KEY_REUSED:
 		problem.Status, problem.Code, problem.RetryAfter = http.StatusUnprocessableEntity, burdockapi.CodeKeyReused, 0
 	}
