--- a/internal/serve/burdockprocess/agent.go
+++ b/internal/serve/burdockprocess/agent.go
@@ -16,18 +16,18 @@
 	"go.uber.org/zap"
 )
 
-// Agent is an agent as a process.
+// Agent is the process that runs one agent.
 type Agent struct {
 	*node
-	agent  *burdockagent.Agent
-	homes  *burdockagent.KeySlotManager
-	rank   *burdockrank.Host
-	puller *burdocksync.Puller
-	reader *burdocksync.Fallback
-	grace  burdockclock.Millis
+	agent    *burdockagent.Agent
+	keySlots *burdockagent.KeySlotManager
+	rank     *burdockrank.Host
+	puller   *burdocksync.Puller
+	reader   *burdocksync.Fallback
+	grace    burdockclock.Millis
 }
 
-// StartAgent starts an agent.
+// StartAgent starts an agent with its listeners and background loops.
 func StartAgent(settings burdocksettings.Agent, log *zap.Logger) (*Agent, error) {
 	n, err := newNode(settings.Common, log)
 	if err != nil {
@@ -59,17 +59,17 @@
 	if err := n.listen(a.peerHandler(), a); err != nil {
 		return nil, err
 	}
-	a.homes = burdockagent.NewKeySlotManager(a.agent, burdocksync.NewWriter(n.store), n.view, n.peers)
+	a.keySlots = burdockagent.NewKeySlotManager(a.agent, burdocksync.NewWriter(n.store), n.view, n.peers)
 	a.reader = burdocksync.NewFallback(n.store, n.view, n.source, n.entryPeers, log)
 	a.agent.Start()
 	a.puller.Start()
 	a.reader.Start()
-	a.homes.Start()
+	a.keySlots.Start()
 	a.rank.Start()
 	return a, nil
 }
 
-// peerHandler returns what the system's other processes are served by.
+// peerHandler returns the RPC handler for the other processes of the system.
 func (a *Agent) peerHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(burdockwire.NewPeerServiceHandler(burdocksync.NewHandler(a.view, a.source), a.handlerOptions()...))
@@ -78,34 +78,35 @@
 	return mux
 }
 
-// PeerAddress returns the address for the system's own processes.
+// PeerAddress returns the address that entries and other agents connect to.
 func (a *Agent) PeerAddress() string { return a.peer.Address() }
 
-// AdminAddress returns the address for operators.
+// AdminAddress returns the address of the operators' endpoint.
 func (a *Agent) AdminAddress() string { return a.admin.Address() }
 
-// Stop is the planned stop: new work is refused and what runs is finished
-// within the grace time.
+// Stop shuts the agent down: it refuses new requests and lets running ones finish
+// within the grace time. Calls after the first do nothing.
 func (a *Agent) Stop() {
 	if !a.fire(burdockcharts.StopEventStop) {
 		return
 	}
 	a.log.Info("stopping")
 	a.agent.Drain()
-	a.drain(a.released, min(a.grace, a.agent.StopGrace()))
-	a.homes.Close()
+	a.drain(a.drained, min(a.grace, a.agent.StopGrace()))
+	a.keySlots.Close()
 	a.rank.Close()
 	a.puller.Close()
 	a.reader.Close()
-	a.peer.Close(lateGrace.Duration())
-	a.admin.Close(lateGrace.Duration())
+	a.peer.Close(lateRequestGrace.Duration())
+	a.admin.Close(lateRequestGrace.Duration())
 	a.agent.Close()
 	a.fire(burdockcharts.StopEventClosed)
 	a.log.Info("stopped")
 }
 
-// released reports whether nothing is left that a stop would cut off or lose.
-func (a *Agent) released() bool { return a.agent.Idle() && a.homes.Released() }
+// drained reports whether no request is running and all key slots are released, so
+// that a stop interrupts and loses nothing.
+func (a *Agent) drained() bool { return a.agent.Idle() && a.keySlots.Released() }
 
 // Dump implements burdockadmin.Process.
 func (a *Agent) Dump() any {
@@ -123,5 +124,5 @@
 // Metrics implements burdockadmin.Process.
 func (a *Agent) Metrics() *metrics.Set { return a.metrics }
 
-// Drain refuses new work from now on, as the first part of a planned stop.
+// Drain makes the agent refuse new requests, the first part of a planned stop.
 func (a *Agent) Drain() { a.agent.Drain() }
--- a/internal/serve/burdockprocess/entry.go
+++ b/internal/serve/burdockprocess/entry.go
@@ -17,7 +17,7 @@
 	"go.uber.org/zap"
 )
 
-// Entry is an entry as a process.
+// Entry is the process that runs one entry.
 type Entry struct {
 	*node
 	entry   *burdockentry.Entry
@@ -27,7 +27,7 @@
 	grace   burdockclock.Millis
 }
 
-// StartEntry starts an entry.
+// StartEntry starts an entry with its listeners and background loops.
 func StartEntry(settings burdocksettings.Entry, log *zap.Logger) (*Entry, error) {
 	n, err := newNode(settings.Common, log)
 	if err != nil {
@@ -56,7 +56,7 @@
 		n.admin.Close(0)
 		return nil, err
 	}
-	e.meterServer(e.callers)
+	e.registerServerMetrics(e.callers)
 	e.watcher = burdocksync.NewWatcher(n.store, n.view, n.source, n.clock, log)
 	e.puller = burdocksync.NewPuller(n.view, n.source, n.peers, n.entryPeers, log)
 	e.entry.Start()
@@ -74,17 +74,17 @@
 	}, mux)
 }
 
-// Address returns the address for callers.
+// Address returns the address that callers connect to.
 func (e *Entry) Address() string { return e.callers.Address() }
 
-// PeerAddress returns the address for the system's own processes.
+// PeerAddress returns the address that agents and other entries connect to.
 func (e *Entry) PeerAddress() string { return e.peer.Address() }
 
-// AdminAddress returns the address for operators.
+// AdminAddress returns the address of the operators' endpoint.
 func (e *Entry) AdminAddress() string { return e.admin.Address() }
 
-// Stop is the planned stop: it cuts off no request in flight within the grace
-// time.
+// Stop shuts the entry down: requests in flight get the grace time to finish. Calls
+// after the first do nothing.
 func (e *Entry) Stop() {
 	if !e.fire(burdockcharts.StopEventStop) {
 		return
@@ -93,12 +93,12 @@
 	e.entry.Drain()
 	e.callers.Drain()
 	e.drain(e.entry.Idle, e.grace)
-	e.callers.Close(lateGrace.Duration())
+	e.callers.Close(lateRequestGrace.Duration())
 	e.watcher.Close()
 	e.puller.Close()
 	e.entry.Close()
-	e.peer.Close(lateGrace.Duration())
-	e.admin.Close(lateGrace.Duration())
+	e.peer.Close(lateRequestGrace.Duration())
+	e.admin.Close(lateRequestGrace.Duration())
 	e.fire(burdockcharts.StopEventClosed)
 	e.log.Info("stopped")
 }
--- a/internal/serve/burdockprocess/node.go
+++ b/internal/serve/burdockprocess/node.go
@@ -1,5 +1,5 @@
-// Package burdockprocess puts the parts of an entry or an agent together into
-// a process: configuration, servers, and a planned stop.
+// Package burdockprocess assembles an entry or an agent into a process:
+// configuration, servers and graceful shutdown.
 package burdockprocess
 
 import (
@@ -25,14 +25,14 @@
 	"go.uber.org/zap"
 )
 
-// lateGrace is how long a stopping process goes on taking requests that were
-// on their way, or that come from those who have not yet heard of the stop.
-const lateGrace = 3 * burdockclock.Second
+// lateRequestGrace is the minimum time for which a stopping process still answers
+// requests: those in transit and those of senders that don't know of the stop yet.
+const lateRequestGrace = 3 * burdockclock.Second
 
-// idleCheck is how often a stopping process looks whether it is idle.
-const idleCheck = 50 * time.Millisecond
+// idleCheckInterval is how often a stopping process checks whether it is idle.
+const idleCheckInterval = 50 * time.Millisecond
 
-// node is what entries and agents have in common.
+// node holds the parts that entries and agents have in common.
 type node struct {
 	settings  burdocksettings.Common
 	clock     burdockclock.Clock
@@ -71,24 +71,24 @@
 		metrics:   metrics.NewSet(),
 		stop:      burdockcharts.NewStop(),
 	}
-	n.meter()
+	n.registerMetrics()
 	return n, nil
 }
 
-// peerTLS returns the two sides of mutual TLS, or nothing when the settings
-// accept plain TCP in words.
+// peerTLS returns the server and client configurations of mutual TLS, or nil for
+// both if the settings explicitly accept plain TCP.
 func peerTLS(settings burdocksettings.Common) (server, client *tls.Config, err error) {
 	if settings.PlainText == burdocksettings.PlainTextAccepted {
 		return nil, nil, nil
 	}
 	server, client, err = settings.TLS.Configs()
 	if err != nil {
-		return nil, nil, errorx.Decorate(err, "keys of the system's own processes")
+		return nil, nil, errorx.Decorate(err, "load the TLS keys for peer connections")
 	}
 	return server, client, nil
 }
 
-// listen opens the listeners that every process has.
+// listen opens the peer and the operator listener, which every process has.
 func (n *node) listen(peerHandler http.Handler, p burdockadmin.Process) error {
 	var err error
 	n.peer, err = burdockserver.Listen(burdockserver.Config{
@@ -104,22 +104,21 @@
 		n.peer.Close(0)
 		return err
 	}
-	n.meterServer(n.peer)
-	n.meterServer(n.admin)
+	n.registerServerMetrics(n.peer)
+	n.registerServerMetrics(n.admin)
 	return nil
 }
 
-// handlerOptions returns how calls of other processes are taken.
+// handlerOptions returns the size limits for RPCs of other processes.
 func (n *node) handlerOptions() []connect.HandlerOption {
 	return burdocktransport.HandlerOptions(n.settings.Limits.MaxBodyBytes, n.settings.Limits.MaxHeaderBytes)
 }
 
-// entryPeers returns the addresses of all entries that are known, without
-// this process's own.
+// entryPeers returns the addresses of all known entries except this process.
 //
-// Failure: settings that all entries share name each entry to itself. Symptom:
-// an entry that is cut off hears from itself and goes on as verified, with
-// duties that others have taken over.
+// Entries may share one settings file, in which case each finds its own address
+// among the peers. An entry that is cut off and synchronizes with itself would stay
+// verified and go on with tasks that others have taken over.
 func (n *node) entryPeers() []string {
 	addresses := slices.Clone(n.settings.Peers)
 	for _, e := range n.fleet.Now().Entries {
@@ -131,21 +130,21 @@
 func (n *node) fire(e burdockcharts.StopEvent) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	moved, err := n.stop.Fire(e)
+	changed, err := n.stop.Fire(e)
 	if err != nil {
 		panic(err)
 	}
-	return moved
+	return changed
 }
 
-// stopState returns how far a planned stop has come.
+// stopState returns the current state of the planned stop.
 func (n *node) stopState() burdockcharts.StopState {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.stop.State()
 }
 
-// ready returns why the process should get no work, or "".
+// ready returns why the process should get no requests, or "" if it is ready.
 func (n *node) ready() string {
 	switch {
 	case n.stopState() != burdockcharts.StopServing:
@@ -156,18 +155,18 @@
 	return ""
 }
 
-// drain waits until idle holds and the grace for late arrivals is over, but no
-// longer than most.
-func (n *node) drain(idle func() bool, most burdockclock.Millis) {
-	began := n.clock.Boot()
+// drain waits until idle returns true and lateRequestGrace has passed, but no longer
+// than maxWait.
+func (n *node) drain(idle func() bool, maxWait burdockclock.Millis) {
+	start := n.clock.Boot()
 	for {
-		time.Sleep(idleCheck)
-		waited := n.clock.Boot() - began
-		if waited >= lateGrace && idle() {
+		time.Sleep(idleCheckInterval)
+		waited := n.clock.Boot() - start
+		if waited >= lateRequestGrace && idle() {
 			n.fire(burdockcharts.StopEventDrained)
 			return
 		}
-		if waited > most {
+		if waited > maxWait {
 			n.fire(burdockcharts.StopEventTimeout)
 			n.log.Warn("the grace time of the stop is over, requests are still open")
 			return
@@ -175,7 +174,8 @@
 	}
 }
 
-// Dump is what a dump shows of every process.
+// Dump is the state dump of a process. Entry, Agent and Group are set for the
+// processes that have them.
 type Dump struct {
 	Role     string                  `json:"role"`
 	Stop     burdockcharts.StopState `json:"stop"`
@@ -189,13 +189,13 @@
 	Findings []string                `json:"findings"`
 }
 
-// ConfigDump is what a dump shows of the configuration.
+// ConfigDump summarizes the configuration in a state dump.
 type ConfigDump struct {
 	Digest burdockconfig.Digest `json:"digest"`
 	Keys   int                  `json:"keys"`
 }
 
-// versionDump is one key of the configuration.
+// versionDump is the version of one configuration key.
 type versionDump struct {
 	Version uint64 `json:"version"`
 	Mark    string `json:"mark"`
@@ -221,5 +221,5 @@
 	return d
 }
 
-// Digest returns the digest of the configuration that is in force here.
+// Digest returns the digest of the configuration that this process uses.
 func (n *node) Digest() burdockconfig.Digest { return n.view.Digest() }
