--- a/internal/serve/burdockserver/limit.go
+++ b/internal/serve/burdockserver/limit.go
@@ -6,15 +6,14 @@
 	"sync/atomic"
 )
 
-// limitedListener closes each new connection at once while as many are open as
-// it allows.
+// limitedListener closes new connections immediately while limit connections are open.
 //
-// Load: a caller that opens connections without end, or a storm of callers
-// that come back together. Harm: each one costs a goroutine, a descriptor and
-// buffers; without a limit the process runs out of them, and with it all its
-// callers. Why closed at once, and not left to wait: whoever waits in the
-// backlog learns nothing until its own timeout, while a connection that was
-// closed before anything was read on it has run nothing and can be made again.
+// It protects against a caller that opens connections without end and against many
+// callers that reconnect at the same time. Each connection costs a goroutine, a file
+// descriptor and buffers, and a process that runs out of them fails all its callers.
+// Excess connections are closed instead of left in the backlog: a caller in the backlog
+// learns nothing until its own timeout, while a connection that is closed before
+// anything was read from it has run no request and can safely be retried.
 type limitedListener struct {
 	net.Listener
 	limit   int64
@@ -38,7 +37,7 @@
 	}
 }
 
-// limitedConn gives its place back when it is closed.
+// limitedConn is a counted connection; closing it lowers the listener's count.
 type limitedConn struct {
 	net.Conn
 	listener *limitedListener
--- a/internal/serve/burdockserver/server.go
+++ b/internal/serve/burdockserver/server.go
@@ -1,5 +1,5 @@
-// Package burdockserver runs the HTTP servers of a process: with limits on
-// what a sender may cost, and a stop that cuts nothing.
+// Package burdockserver runs the HTTP servers of a process. It limits the resources
+// that a sender can use and shuts down gracefully.
 package burdockserver
 
 import (
@@ -16,46 +16,46 @@
 	"go.uber.org/zap"
 )
 
-// Server is one listener and what answers on it.
+// Server is an HTTP server on one listener.
 type Server struct {
-	name     string
-	server   *http.Server
-	listener *limitedListener
-	served   net.Listener // listener, with TLS around it if that is asked for
-	log      *zap.Logger
-	draining atomic.Bool
-	done     chan struct{}
+	name          string
+	server        *http.Server
+	listener      *limitedListener
+	serveListener net.Listener // listener, wrapped in TLS if configured
+	log           *zap.Logger
+	draining      atomic.Bool
+	done          chan struct{}
 }
 
-// Config says how a server listens.
+// Config configures a Server.
 type Config struct {
-	Name    string // for the log
+	Name    string // in log messages and metric labels
 	Address string
 	TLS     *tls.Config // nil for plain TCP
 	Limits  burdocksettings.Limits
 	Log     *zap.Logger
 }
 
-// headerSlack is how far beyond the limit headers are still read, so that who
-// sent a little too much gets an answer in the API's shape. Beyond that the
-// library answers 431 in its own words and closes the connection.
-const headerSlack = 2
+// headerSlackFactor times the header limit is what the server still reads, so that a
+// request slightly over the limit gets an error in the API's format. Beyond that,
+// net/http answers 431 with its own text and closes the connection.
+const headerSlackFactor = 2
 
-// Listen opens the listener and begins to serve.
+// Listen opens the listener and starts serving.
 func Listen(cfg Config, handler http.Handler) (*Server, error) {
-	opened, err := net.Listen("tcp", cfg.Address)
+	tcp, err := net.Listen("tcp", cfg.Address)
 	if err != nil {
 		return nil, errorx.Decorate(err, "listen for %s", cfg.Name)
 	}
-	limited := &limitedListener{Listener: opened, limit: int64(cfg.Limits.MaxConnections)}
-	var served net.Listener = limited
+	limited := &limitedListener{Listener: tcp, limit: int64(cfg.Limits.MaxConnections)}
+	var serve net.Listener = limited
 	if cfg.TLS != nil {
-		served = tls.NewListener(limited, cfg.TLS)
+		serve = tls.NewListener(limited, cfg.TLS)
 	}
-	s := &Server{name: cfg.Name, listener: limited, served: served, log: cfg.Log, done: make(chan struct{})}
+	s := &Server{name: cfg.Name, listener: limited, serveListener: serve, log: cfg.Log, done: make(chan struct{})}
 	s.server = &http.Server{
-		Handler:           s.closing(bounded(cfg.Limits.BodyTimeoutMillis.Duration(), handler)),
-		MaxHeaderBytes:    headerSlack * cfg.Limits.MaxHeaderBytes,
+		Handler:           s.closeWhileDraining(withBodyTimeout(cfg.Limits.BodyTimeoutMillis.Duration(), handler)),
+		MaxHeaderBytes:    headerSlackFactor * cfg.Limits.MaxHeaderBytes,
 		ReadHeaderTimeout: cfg.Limits.ReadHeaderTimeoutMillis.Duration(),
 		IdleTimeout:       cfg.Limits.IdleTimeoutMillis.Duration(),
 		ErrorLog:          zap.NewStdLog(cfg.Log),
@@ -67,33 +67,33 @@
 // Address returns the address that the server listens on.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Name returns what the listener is for.
+// Name returns the server's name from Config.
 func (s *Server) Name() string { return s.name }
 
-// Connections returns how many connections are open.
+// Connections returns the number of open connections.
 func (s *Server) Connections() int { return int(s.listener.open.Load()) }
 
-// MaxConnections returns how many connections may be open.
+// MaxConnections returns the limit on open connections.
 func (s *Server) MaxConnections() int { return int(s.listener.limit) }
 
-// RefusedConnections returns how many connections were closed because as many
-// as may be were open.
+// RefusedConnections returns the number of connections that were closed because
+// MaxConnections were open.
 func (s *Server) RefusedConnections() int { return int(s.listener.refused.Load()) }
 
 func (s *Server) run() {
 	defer close(s.done)
-	if err := s.server.Serve(s.served); !errors.Is(err, http.ErrServerClosed) {
-		s.log.Error("server ended", zap.String("server", s.name), zap.Error(err))
+	if err := s.server.Serve(s.serveListener); !errors.Is(err, http.ErrServerClosed) {
+		s.log.Error("server stopped unexpectedly", zap.String("server", s.name), zap.Error(err))
 	}
 }
 
-// closing adds "Connection: close" to each answer once the server drains.
+// closeWhileDraining adds "Connection: close" to each response while the server drains.
 //
-// Failure: a stop closes an idle kept-alive connection while the next request
-// is on its way. Symptom: the caller sees a cut and can't tell whether it ran.
-// With this header each caller closes its own connection after an answer, so
-// by the end of the grace time none is left in use.
-func (s *Server) closing(next http.Handler) http.Handler {
+// A shutdown that closes an idle keep-alive connection may do so while the next request
+// is in transit; the caller then sees a connection error and can't tell whether the
+// request ran. With this header callers close their connections after a response, so
+// none is in use at the end of the grace time.
+func (s *Server) closeWhileDraining(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.draining.Load() {
 			w.Header().Set("Connection", "close")
@@ -102,15 +102,16 @@
 	})
 }
 
-// Drain asks callers to close their connections. New ones are still taken.
+// Drain asks callers to close their connections. New connections are still accepted.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// Close stops listening, waits for open requests up to grace, and ends.
+// Close stops listening, waits up to grace for open requests, then closes all remaining
+// connections.
 func (s *Server) Close(grace time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), grace)
 	defer cancel()
 	if err := s.server.Shutdown(ctx); err != nil {
-		s.log.Warn("requests were still open at the end of the grace time", zap.String("server", s.name), zap.Error(err))
+		s.log.Warn("requests still open at the end of the grace time; closing their connections", zap.String("server", s.name), zap.Error(err))
 		_ = s.server.Close()
 	}
 	<-s.done
