--- a/internal/serve/burdockapi/completion.go
+++ b/internal/serve/burdockapi/completion.go
@@ -18,22 +18,22 @@
 )
 
 const (
-	// bytesPerToken is a usual size of a token in a prompt. The queue needs a
-	// cost before the engine has counted, and corrects it afterwards.
+	// bytesPerToken is the typical size of a prompt token. The queue needs a cost
+	// estimate before the engine has counted the tokens, and corrects it afterwards.
 	bytesPerToken = 4
-	// usualMaxTokens stands in when the caller sets no bound on the answer.
-	usualMaxTokens = 256
-	// mostTokens bounds what one limit adds to the cost, far above any answer.
-	// A caller may write any number; without the bound, prompt and answer could
-	// sum to a cost below 0, which the queue charges as next to nothing.
-	mostTokens = 1 << 20
+	// defaultMaxTokens is assumed if the caller sets no limit on the answer.
+	defaultMaxTokens = 256
+	// maxTokensBound caps the caller's token limit, far above the length of any answer.
+	// Callers may send any number; without the cap, the sum of prompt and answer tokens
+	// could overflow to a negative cost, which the queue charges as almost nothing.
+	maxTokensBound = 1 << 20
 )
 
-// Completion is what the balancer needs to know of a model request. The body
-// goes on to the engine unchanged.
+// Completion holds the fields of a model request that the balancer uses. The body is
+// forwarded to the engine unchanged.
 type Completion struct {
 	Model  string
-	Prompt string // the text that prefixes are hashed from
+	Prompt string // raw JSON of the prompt or messages; its prefixes are hashed
 	Stream bool
 	// PromptTokens and MaxTokens are estimates.
 	PromptTokens burdockid.Tokens
@@ -49,7 +49,7 @@
 	MaxCompletionTokens *int64          `json:"max_completion_tokens"`
 }
 
-// ParseCompletion reads a body of the model API.
+// ParseCompletion parses and validates a request body of the model API.
 func ParseCompletion(path, contentType string, body []byte) (Completion, *Problem) {
 	if media, _, err := mime.ParseMediaType(contentType); err != nil || media != "application/json" {
 		return Completion{}, &Problem{
@@ -59,12 +59,12 @@
 	}
 	var b completionBody
 	if err := json.Unmarshal(body, &b); err != nil {
-		return Completion{}, invalid("", jsonMessage(err))
+		return Completion{}, badRequest("", jsonErrorMessage(err))
 	}
 	if b.Model == "" {
-		return Completion{}, invalid("model", "model must be named")
+		return Completion{}, badRequest("model", "model must be named")
 	}
-	prompt, problem := promptOf(path, b)
+	prompt, problem := extractPrompt(path, b)
 	if problem != nil {
 		return Completion{}, problem
 	}
@@ -73,38 +73,38 @@
 		Prompt:       prompt,
 		Stream:       b.Stream,
 		PromptTokens: burdockid.Tokens(len(prompt)/bytesPerToken + 1),
-		MaxTokens:    usualMaxTokens,
+		MaxTokens:    defaultMaxTokens,
 	}
 	for _, limit := range []*int64{b.MaxTokens, b.MaxCompletionTokens} {
 		if limit == nil {
 			continue
 		}
 		if *limit < 1 {
-			return Completion{}, invalid("max_tokens", "max_tokens must be 1 or more")
+			return Completion{}, badRequest("max_tokens", "max_tokens must be 1 or more")
 		}
-		c.MaxTokens = burdockid.Tokens(min(*limit, mostTokens))
+		c.MaxTokens = burdockid.Tokens(min(*limit, maxTokensBound))
 	}
 	return c, nil
 }
 
-func promptOf(path string, b completionBody) (string, *Problem) {
+func extractPrompt(path string, b completionBody) (string, *Problem) {
 	if path == PathChat {
 		if len(b.Messages) == 0 || b.Messages[0] != '[' || strings.TrimSpace(string(b.Messages[1:len(b.Messages)-1])) == "" {
-			return "", invalid("messages", "messages must be a list with at least one message")
+			return "", badRequest("messages", "messages must be a list with at least one message")
 		}
 		return string(b.Messages), nil
 	}
 	if len(b.Prompt) == 0 || string(b.Prompt) == "null" {
-		return "", invalid("prompt", "prompt must be given")
+		return "", badRequest("prompt", "prompt must be given")
 	}
 	return string(b.Prompt), nil
 }
 
-func invalid(param, message string) *Problem {
+func badRequest(param, message string) *Problem {
 	return &Problem{Status: http.StatusBadRequest, Code: CodeBadRequest, Param: param, Message: message, NotRun: true}
 }
 
-func jsonMessage(err error) string {
+func jsonErrorMessage(err error) string {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) && wrongType.Field != "" {
 		return wrongType.Field + " must not be a " + wrongType.Value
--- a/internal/serve/burdockapi/problem.go
+++ b/internal/serve/burdockapi/problem.go
@@ -1,5 +1,5 @@
-// Package burdockapi holds the shapes of the model clients' HTTP API: what a
-// request must look like and how an error is told.
+// Package burdockapi defines the HTTP API for model clients: the format of requests and
+// of error responses.
 package burdockapi
 
 import (
@@ -10,10 +10,10 @@
 	"burdockbend.example/burdockbend/internal/base/burdockclock"
 )
 
-// Code is the machine-readable name of a problem.
+// Code identifies the kind of problem for programs.
 type Code string
 
-// Codes of problems. docs/OPERATIONS.md says what to do about each.
+// Codes of problems. docs/OPERATIONS.md describes how to handle each.
 const (
 	CodeUnauthenticated  Code = "unauthenticated"
 	CodeBadRequest       Code = "badRequest"
@@ -37,18 +37,18 @@
 	CodeNotReady         Code = "notReady"
 )
 
-// NotRun tells whether a request that failed was handed to an upstream.
+// NotRun is true if it is certain that no upstream ran the failed request.
 type NotRun bool
 
-// Problem is an error as callers see it.
+// Problem is an error response to a caller.
 type Problem struct {
 	Status  int
 	Code    Code
 	Message string
 	Param   string
-	// NotRun is set when the request was truly not run and may be sent again.
+	// NotRun is set if the request was certainly not run and can safely be retried.
 	NotRun NotRun
-	// RetryAfter is when to come back; 0 says nothing about it.
+	// RetryAfter is how long the caller should wait before a retry; 0 sends no hint.
 	RetryAfter burdockclock.Millis
 }
 
@@ -67,20 +67,20 @@
 	NotRun  NotRun  `json:"notRun"`
 }
 
-// Body returns the problem as the API's JSON.
+// Body returns the problem as JSON in the API's error format.
 func (p *Problem) Body() []byte {
-	detail := problemDetail{Message: p.Message, Type: p.kind(), Code: p.Code, NotRun: p.NotRun}
+	detail := problemDetail{Message: p.Message, Type: p.errorType(), Code: p.Code, NotRun: p.NotRun}
 	if p.Param != "" {
 		detail.Param = &p.Param
 	}
 	body, err := json.Marshal(problemBody{Error: detail})
 	if err != nil {
-		panic(err) // strings and booleans can always be encoded
+		panic(err) // unreachable: strings and booleans always encode
 	}
 	return body
 }
 
-func (p *Problem) kind() string {
+func (p *Problem) errorType() string {
 	switch {
 	case p.Status == http.StatusTooManyRequests:
 		return "rate_limit_error"
@@ -93,13 +93,13 @@
 	}
 }
 
-// Write answers a request with the problem.
+// Write sends the problem as the response.
 func (p *Problem) Write(w http.ResponseWriter) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set("Burdock-Not-Run", strconv.FormatBool(bool(p.NotRun)))
-	// Stock clients repeat a request by themselves on most failures. This
-	// header, which they honour, stops that where the request may have run.
+	// Common client libraries retry most failures automatically. They honour this
+	// header, which prevents a retry of a request that may have run.
 	h.Set("X-Should-Retry", strconv.FormatBool(bool(p.NotRun) && p.RetryAfter > 0))
 	if p.RetryAfter > 0 {
 		seconds := (p.RetryAfter + burdockclock.Second - 1) / burdockclock.Second
