--- a/internal/serve/burdockadmin/admin.go
+++ b/internal/serve/burdockadmin/admin.go
@@ -1,6 +1,6 @@
-// Package burdockadmin answers operators: the state of a process, its metrics,
-// and whether the platform's balancer should send it work. It listens apart
-// from callers.
+// Package burdockadmin serves the operators' endpoint: the state and metrics of a
+// process, its health, and its readiness for the platform's balancer. The endpoint has a
+// listener of its own, separate from the callers'.
 package burdockadmin
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Paths that an operator or the platform asks for.
+// Paths that operators and the platform request.
 const (
 	PathState   = "/state"
 	PathMetrics = "/metrics"
@@ -18,17 +18,17 @@
 	PathReady   = "/readyz"
 )
 
-// Process is what the handler shows.
+// Process is the process that the handlers report on.
 type Process interface {
-	// Dump returns the state of the process, to be shown as JSON.
+	// Dump returns the state of the process, which is encoded as JSON.
 	Dump() any
-	// Ready returns why the process should get no work, or "".
+	// Ready returns why the process should get no requests, or "" if it is ready.
 	Ready() string
-	// Metrics returns the set of metrics of the process.
+	// Metrics returns the metrics of the process.
 	Metrics() *metrics.Set
 }
 
-// NewHandler returns what operators are served by.
+// NewHandler returns the handler of the operators' endpoint.
 func NewHandler(p Process) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathState, func(w http.ResponseWriter, _ *http.Request) {
@@ -48,7 +48,7 @@
 	return mux
 }
 
-// NewReady returns the readiness check alone, for the listener that the
+// NewReady returns a handler for the readiness check alone, for the listener that the
 // platform's balancer can reach.
 func NewReady(p Process) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
