--- a/internal/measure/burdockpassthrough/command.go
+++ b/internal/measure/burdockpassthrough/command.go
@@ -17,7 +17,7 @@
 
 const readHeaderTimeout = 5 * time.Second
 
-// Command returns the command that runs the bare hop until it is told to stop.
+// Command returns the command that runs the bare hop until its context ends.
 func Command(w io.Writer) *ffcli.Command {
 	fs := flag.NewFlagSet("burdock measure passthrough", flag.ContinueOnError)
 	listen := fs.String("listen", "127.0.0.1:0", "IP and port to listen on")
@@ -37,11 +37,11 @@
 	}
 }
 
-// server is one listener that answers.
+// server is an HTTP server with its listener.
 type server struct {
 	http     *http.Server
 	listener net.Listener
-	failed   chan error
+	serveErr chan error
 }
 
 func listen(address string, handler http.Handler) (*server, error) {
@@ -52,7 +52,7 @@
 	s := &server{
 		http:     &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout},
 		listener: listener,
-		failed:   make(chan error, 1),
+		serveErr: make(chan error, 1),
 	}
 	go s.run()
 	return s, nil
@@ -60,31 +60,31 @@
 
 func (s *server) run() {
 	if err := s.http.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
-		s.failed <- err
+		s.serveErr <- err
 	}
 }
 
-// run serves until ctx ends. The first line it prints is the address.
+// run serves until ctx ends. It first prints the addresses of the hop and of its metrics.
 func run(ctx context.Context, w io.Writer, address, admin, target string) error {
 	hop, err := listen(address, NewHandler(target))
 	if err != nil {
 		return err
 	}
 	defer func() { _ = hop.http.Close() }()
-	operators, err := listen(admin, http.HandlerFunc(serveMetrics))
+	metricsServer, err := listen(admin, http.HandlerFunc(serveMetrics))
 	if err != nil {
 		return err
 	}
-	defer func() { _ = operators.http.Close() }()
-	if _, err := fmt.Fprintln(w, hop.listener.Addr(), operators.listener.Addr()); err != nil {
+	defer func() { _ = metricsServer.http.Close() }()
+	if _, err := fmt.Fprintln(w, hop.listener.Addr(), metricsServer.listener.Addr()); err != nil {
 		return err
 	}
 	select {
 	case <-ctx.Done():
 		return nil
-	case err := <-hop.failed:
+	case err := <-hop.serveErr:
 		return err
-	case err := <-operators.failed:
+	case err := <-metricsServer.serveErr:
 		return err
 	}
 }
--- a/internal/measure/burdockpassthrough/passthrough.go
+++ b/internal/measure/burdockpassthrough/passthrough.go
@@ -1,6 +1,6 @@
-// Package burdockpassthrough is a bare hop written for the benchmark: it
-// passes each request on to one address and the answer back, and does nothing
-// else. What the balancer costs is told as a multiple of it.
+// Package burdockpassthrough is a minimal reverse proxy for benchmarks, the bare hop: it
+// forwards each request to one address and returns the answer. The cost of the balancer
+// is given as a multiple of its cost.
 package burdockpassthrough
 
 import (
@@ -12,17 +12,17 @@
 
 const (
 	bufferBytes = 32 << 10
-	// maxIdle covers the requests of one benchmark.
+	// maxIdle covers the concurrent requests of one benchmark.
 	maxIdle = 1024
 )
 
-// handler passes requests on.
+// handler forwards requests.
 type handler struct {
 	base      string
 	transport *http.Transport
 }
 
-// NewHandler returns a handler that passes each request on to target.
+// NewHandler returns a handler that forwards each request to target.
 func NewHandler(target string) http.Handler {
 	return &handler{base: "http://" + target, transport: &http.Transport{
 		MaxIdleConns:        maxIdle,
@@ -42,7 +42,7 @@
 	maps.Copy(w.Header(), res.Header)
 	w.WriteHeader(res.StatusCode)
 	if copyFlushing(w, res.Body) != nil {
-		panic(http.ErrAbortHandler) // the caller must not take part for all
+		panic(http.ErrAbortHandler) // otherwise a truncated answer looks complete to the caller
 	}
 }
 
@@ -56,7 +56,7 @@
 	return h.transport.RoundTrip(req)
 }
 
-// copyFlushing passes bytes on as they come, each read flushed.
+// copyFlushing copies body to w and flushes after each read.
 func copyFlushing(w http.ResponseWriter, body io.Reader) error {
 	control := http.NewResponseController(w)
 	buffer := make([]byte, bufferBytes)
--- a/internal/measure/burdockpassthrough/passthrough_test.go
+++ b/internal/measure/burdockpassthrough/passthrough_test.go
@@ -10,7 +10,7 @@
 	"burdockbend.example/burdockbend/internal/standin/burdockfakeengine"
 )
 
-func TestPassesStreamOnUnchanged(t *testing.T) {
+func TestForwardsStreamUnchanged(t *testing.T) {
 	engine := httptest.NewServer(burdockfakeengine.New(burdockfakeengine.Config{}))
 	defer engine.Close()
 	hop := httptest.NewServer(NewHandler(engine.Listener.Addr().String()))
@@ -26,18 +26,18 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		bodies = append(bodies, shown(res, body))
+		bodies = append(bodies, describe(res, body))
 	}
 	if got, want := bodies[1], bodies[0]; got != want {
 		t.Errorf("through the hop: got %q, want %q", got, want)
 	}
 }
 
-func shown(res *http.Response, body []byte) string {
+func describe(res *http.Response, body []byte) string {
 	return res.Status + " " + res.Header.Get("Content-Type") + " " + string(body)
 }
 
-func TestBrokenAnswerStaysBroken(t *testing.T) {
+func TestAbortedAnswerIsAborted(t *testing.T) {
 	engine := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, "part")
 		_ = http.NewResponseController(w).Flush()
@@ -52,6 +52,6 @@
 	}
 	defer func() { _ = res.Body.Close() }()
 	if body, err := io.ReadAll(res.Body); err == nil {
-		t.Errorf("a broken answer came through as whole: %q", body)
+		t.Errorf("an aborted answer was forwarded as complete: %q", body)
 	}
 }
