--- a/internal/measure/burdockpathlab/command.go
+++ b/internal/measure/burdockpathlab/command.go
@@ -1,7 +1,7 @@
-// Package burdockpathlab measures what the path through entry and agent costs:
-// added time to the first token, processor time and memory, against the
-// engine alone and against a bare hop. It talks only to running processes
-// whose addresses it is given; tools/measure-path starts them.
+// Package burdockpathlab measures the cost of the path through entry and agent: added
+// time to the first token, processor time and memory. It compares them with the engine
+// alone and with a bare hop, which only forwards. All processes must be running already;
+// tools/measure-path starts them.
 package burdockpathlab
 
 import (
@@ -25,11 +25,11 @@
 	pathBalancer    = "entry and agent"
 )
 
-// answerTokens is short, so that the calls' own tokens are few beside those of
-// the streams.
+// answerTokens is small, so that the tokens of single requests hardly count beside those
+// of the streams.
 const answerTokens = 2
 
-// options are the arguments of the command.
+// options are the flags of the command.
 type options struct {
 	entry            string
 	entryAdmin       string
@@ -46,7 +46,7 @@
 	seed             uint64
 }
 
-// Command returns the command that measures the path and prints to w.
+// Command returns the command that measures the path and prints the results to w.
 func Command(w io.Writer) *ffcli.Command {
 	var o options
 	fs := flag.NewFlagSet("burdock measure path", flag.ContinueOnError)
@@ -90,17 +90,17 @@
 	}
 	l := o.lab()
 	balancer := l.paths[len(l.paths)-1]
-	idle, err := readAll(ctx, balancer)
+	idle, err := readProcesses(ctx, balancer)
 	if err != nil {
 		return err
 	}
 	printMemory(w, balancer, idle)
-	alone := phase{name: "streams alone", streams: o.streams}
-	streams, err := l.run(ctx, alone)
+	streamsOnly := phase{name: "streams alone", streams: o.streams}
+	streams, err := l.run(ctx, streamsOnly)
 	if err != nil {
 		return err
 	}
-	if err := printPhase(w, alone, l.paths, streams); err != nil {
+	if err := printPhase(w, streamsOnly, l.paths, streams); err != nil {
 		return err
 	}
 	for _, rate := range rates {
@@ -111,26 +111,26 @@
 	return nil
 }
 
-// measure runs the phases of one rate: without streams, then with them.
+// measure runs the phases of one request rate, first without streams, then with them.
 func (o options) measure(ctx context.Context, w io.Writer, l *lab, rate float64, streams map[string]*sample) error {
-	quiet := phase{name: "requests alone", rate: rate}
-	requests, err := l.run(ctx, quiet)
+	requestsOnly := phase{name: "requests alone", rate: rate}
+	requests, err := l.run(ctx, requestsOnly)
 	if err != nil {
 		return err
 	}
-	if err := printPhase(w, quiet, l.paths, requests); err != nil {
+	if err := printPhase(w, requestsOnly, l.paths, requests); err != nil {
 		return err
 	}
 	mixed := phase{name: "requests beside streams", rate: rate, streams: o.streams}
-	both, err := l.run(ctx, mixed)
+	mixedSamples, err := l.run(ctx, mixed)
 	if err != nil {
 		return err
 	}
-	if err := printPhase(w, mixed, l.paths, both); err != nil {
+	if err := printPhase(w, mixed, l.paths, mixedSamples); err != nil {
 		return err
 	}
 	_, _ = fmt.Fprintln(w)
-	return printCosts(w, mixed, l.paths, streams, requests, both)
+	return printCosts(w, mixed, l.paths, streams, requests, mixedSamples)
 }
 
 func (o options) lab() *lab {
@@ -143,14 +143,14 @@
 		},
 		paths: []path{
 			{name: pathDirect, address: o.engine},
-			{name: pathPassthrough, address: o.passthrough, admins: []process{{"bare hop", o.passthroughAdmin}}},
-			{name: pathBalancer, address: o.entry, admins: []process{{"entry", o.entryAdmin}, {"agent", o.agentAdmin}}},
+			{name: pathPassthrough, address: o.passthrough, processes: []process{{"bare hop", o.passthroughAdmin}}},
+			{name: pathBalancer, address: o.entry, processes: []process{{"entry", o.entryAdmin}, {"agent", o.agentAdmin}}},
 		},
 	}
 }
 
-// streamTokens is more than an engine gives in one turn, at a millisecond for
-// each, so that a stream stays open to its end.
+// streamTokens returns more tokens than an engine generates in one turn at a millisecond
+// per token, so that each stream stays open until the end of the turn.
 func streamTokens(turn time.Duration) int { return int(turn/time.Millisecond) + 1 }
 
 func parseRates(text string) ([]float64, error) {
--- a/internal/measure/burdockpathlab/lab.go
+++ b/internal/measure/burdockpathlab/lab.go
@@ -7,17 +7,17 @@
 	"burdockbend.example/burdockbend/internal/tool/burdockload"
 )
 
-// path is one way to the engine, with the processes whose time it takes.
+// path is one path to the engine, with the processes that requests pass through.
 type path struct {
-	name    string
-	address string
-	admins  []process
+	name      string
+	address   string
+	processes []process
 }
 
-// process is one process of a path and where it shows its metrics.
+// process is one process of a path and the address of its metrics.
 type process struct {
-	name  string
-	admin string
+	name         string
+	adminAddress string
 }
 
 // phase is one kind of load.
@@ -27,25 +27,25 @@
 	streams int
 }
 
-// sample is what all turns of one phase showed of one path.
+// sample holds the results of all turns of one phase for one path.
 type sample struct {
-	result    *burdockload.Result
-	processor map[string]time.Duration // by process
+	result        *burdockload.Result
+	processorTime map[string]time.Duration // by name of the process
 }
 
 func newSample() *sample {
-	return &sample{result: burdockload.NewResult(), processor: map[string]time.Duration{}}
+	return &sample{result: burdockload.NewResult(), processorTime: map[string]time.Duration{}}
 }
 
-// lab runs phases over paths.
+// lab runs phases on each path.
 type lab struct {
 	load  burdockload.Config
 	turns int
 	paths []path
 }
 
-// run puts one phase through each path in turns, so that what changes on the
-// machine meanwhile meets all paths alike.
+// run runs one phase on the paths in turn, so that changes of the machine's load
+// affect all paths alike.
 func (l *lab) run(ctx context.Context, ph phase) (map[string]*sample, error) {
 	samples := map[string]*sample{}
 	for _, p := range l.paths {
@@ -55,7 +55,7 @@
 		cfg := l.load
 		cfg.Rate, cfg.Streams, cfg.Seed = ph.rate, ph.streams, l.load.Seed+uint64(turn)
 		for _, p := range l.paths {
-			if err := samples[p.name].add(ctx, cfg, p); err != nil {
+			if err := samples[p.name].runTurn(ctx, cfg, p); err != nil {
 				return nil, err
 			}
 		}
@@ -63,9 +63,9 @@
 	return samples, nil
 }
 
-// add runs one turn.
-func (s *sample) add(ctx context.Context, cfg burdockload.Config, p path) error {
-	before, err := readAll(ctx, p)
+// runTurn runs one turn of a path and adds its results to s.
+func (s *sample) runTurn(ctx context.Context, cfg burdockload.Config, p path) error {
+	before, err := readProcesses(ctx, p)
 	if err != nil {
 		return err
 	}
@@ -73,22 +73,22 @@
 	if err != nil {
 		return err
 	}
-	after, err := readAll(ctx, p)
+	after, err := readProcesses(ctx, p)
 	if err != nil {
 		return err
 	}
 	s.result.Merge(result)
 	for name, r := range after {
-		s.processor[name] += r.processor - before[name].processor
+		s.processorTime[name] += r.processorTime - before[name].processorTime
 	}
 	return nil
 }
 
-// readAll reads all processes of a path.
-func readAll(ctx context.Context, p path) (map[string]reading, error) {
+// readProcesses reads the metrics of all processes of a path.
+func readProcesses(ctx context.Context, p path) (map[string]reading, error) {
 	readings := map[string]reading{}
-	for _, pr := range p.admins {
-		r, err := read(ctx, pr.admin)
+	for _, pr := range p.processes {
+		r, err := readMetrics(ctx, pr.adminAddress)
 		if err != nil {
 			return nil, err
 		}
@@ -97,25 +97,25 @@
 	return readings, nil
 }
 
-// total returns the processor time of all processes of a path.
-func (s *sample) total() time.Duration {
+// totalTime returns the processor time of all processes of the path.
+func (s *sample) totalTime() time.Duration {
 	var sum time.Duration
-	for _, d := range s.processor {
+	for _, d := range s.processorTime {
 		sum += d
 	}
 	return sum
 }
 
-// perToken returns the processor time of a token, from streams alone.
-func (s *sample) perToken() time.Duration { return s.per(s.result.Tokens) }
+// perToken returns the processor time per token. It is valid for streams alone.
+func (s *sample) perToken() time.Duration { return s.timePer(s.result.Tokens) }
 
-// perRequest returns the processor time of a request, from requests alone.
-// Beside streams it can't be told: what the tokens take varies by more.
-func (s *sample) perRequest() time.Duration { return s.per(int64(s.result.Sent)) }
+// perRequest returns the processor time per request. It is valid for requests alone:
+// beside streams, the time of the tokens varies by more than that of the requests.
+func (s *sample) perRequest() time.Duration { return s.timePer(int64(s.result.Sent)) }
 
-func (s *sample) per(n int64) time.Duration {
+func (s *sample) timePer(n int64) time.Duration {
 	if n == 0 {
 		return 0
 	}
-	return s.total() / time.Duration(n)
+	return s.totalTime() / time.Duration(n)
 }
--- a/internal/measure/burdockpathlab/lab_test.go
+++ b/internal/measure/burdockpathlab/lab_test.go
@@ -15,22 +15,22 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-func TestParseReadsWhatProcessesExport(t *testing.T) {
+func TestParseMetricsReadsProcessMetrics(t *testing.T) {
 	var exported bytes.Buffer
 	metrics.WriteProcessMetrics(&exported)
-	r, err := parse(&exported)
+	r, err := parseMetrics(&exported)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if r.memory < 1<<20 {
 		t.Errorf("resident memory: got %d, want more than a megabyte", r.memory)
 	}
-	if _, err := parse(strings.NewReader("process_cpu_seconds_total 1\n")); err == nil {
-		t.Error("metrics without the memory: got no error, want one")
+	if _, err := parseMetrics(strings.NewReader("process_cpu_seconds_total 1\n")); err == nil {
+		t.Error("metrics without resident memory: got no error, want one")
 	}
 }
 
-// bareHop runs the bare hop's command, which prints its addresses to w.
+// bareHop runs the command of the bare hop, which prints its addresses to w.
 type bareHop struct {
 	w      io.Writer
 	target string
@@ -40,8 +40,8 @@
 	_ = burdockpassthrough.Command(h.w).ParseAndRun(ctx, []string{"-target", h.target})
 }
 
-// The whole command, with a bare hop in place of entry and agent: every path
-// and phase is printed, and every request is answered.
+// The command runs with a bare hop in place of entry and agent. It must print every path
+// and every phase.
 func TestCommandMeasuresEachPath(t *testing.T) {
 	engine := httptest.NewServer(burdockfakeengine.New(burdockfakeengine.Config{Step: time.Millisecond}))
 	defer engine.Close()
--- a/internal/measure/burdockpathlab/metrics.go
+++ b/internal/measure/burdockpathlab/metrics.go
@@ -15,7 +15,7 @@
 	"github.com/joomcode/errorx"
 )
 
-const meterTimeout = 5 * time.Second
+const metricsTimeout = 5 * time.Second
 
 // Names of the metrics that every process exports.
 const (
@@ -23,15 +23,15 @@
 	metricMemory    = "process_resident_memory_bytes"
 )
 
-// reading is what a process says of itself at one instant.
+// reading holds the metrics of a process at one time.
 type reading struct {
-	processor time.Duration
-	memory    int64 // bytes
+	processorTime time.Duration
+	memory        int64 // bytes
 }
 
-// read asks a process for its processor time and its memory.
-func read(ctx context.Context, admin string) (reading, error) {
-	ctx, cancel := context.WithTimeout(ctx, meterTimeout)
+// readMetrics fetches the processor time and the memory of a process.
+func readMetrics(ctx context.Context, admin string) (reading, error) {
+	ctx, cancel := context.WithTimeout(ctx, metricsTimeout)
 	defer cancel()
 	req, err := sling.New().Base("http://" + admin).Get(burdockadmin.PathMetrics).Request()
 	if err != nil {
@@ -39,14 +39,14 @@
 	}
 	res, err := http.DefaultClient.Do(req.WithContext(ctx))
 	if err != nil {
-		return reading{}, errorx.Decorate(err, "ask %s", admin)
+		return reading{}, errorx.Decorate(err, "read metrics of %s", admin)
 	}
 	defer func() { _ = res.Body.Close() }()
-	return parse(res.Body)
+	return parseMetrics(res.Body)
 }
 
-// parse finds both metrics in the exposition format.
-func parse(r io.Reader) (reading, error) {
+// parseMetrics reads both metrics from the Prometheus text format.
+func parseMetrics(r io.Reader) (reading, error) {
 	values := map[string]float64{}
 	lines := bufio.NewScanner(r)
 	for lines.Scan() {
@@ -64,13 +64,13 @@
 		return reading{}, errorx.IllegalFormat.New("the metrics lack %s or %s", metricProcessor, metricMemory)
 	}
 	return reading{
-		processor: time.Duration(values[metricProcessor] * float64(time.Second)),
-		memory:    int64(values[metricMemory]),
+		processorTime: time.Duration(values[metricProcessor] * float64(time.Second)),
+		memory:        int64(values[metricMemory]),
 	}, lines.Err()
 }
 
-// machineLoad returns how busy the machine is, as the kernel tells it: the
-// runnable tasks, averaged over one, five and fifteen minutes.
+// machineLoad returns the load averages that the kernel reports: the runnable tasks,
+// averaged over one, five and fifteen minutes.
 func machineLoad() string {
 	data, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
