--- a/internal/measure/burdockgrouplab/command.go
+++ b/internal/measure/burdockgrouplab/command.go
@@ -14,16 +14,16 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// leads are the fixed values of lead that the command compares, in steps.
+// leads are the fixed switch leads that the command compares, in steps.
 var leads = []burdockid.Step{1, 2, 3, 4, 6, 8, 16}
 
-// Bounds of the lead that grows by itself.
+// Bounds of the switch lead that doubles whenever it proves too small.
 const (
-	leastLead burdockid.Step = 4
-	mostLead  burdockid.Step = 64
+	growingMinLead burdockid.Step = 4
+	growingMaxLead burdockid.Step = 64
 )
 
-// loadPoll is the time between two questions whether a map is loaded.
+// loadPoll is the interval at which the controller asks whether a map is loaded.
 const loadPoll burdockclock.Millis = 250
 
 // settings are the command's flags.
@@ -38,7 +38,7 @@
 }
 
 // Command returns "mapchange", which measures what a change of the expert map
-// costs a group and writes the figures to w.
+// costs a group, and writes the figures to w.
 func Command(w io.Writer) *ffcli.Command {
 	var s settings
 	fs := flag.NewFlagSet("mapchange", flag.ContinueOnError)
@@ -70,7 +70,7 @@
 			findings.Add(burdockfinding.Finding{Key: "--" + key, What: fmt.Sprintf("is %v", got), Want: fmt.Sprintf("%v or more", least)})
 		}
 	}
-	const shortest = 0.001 // a microsecond, the lab's unit of time
+	const shortest = 0.001 // a microsecond, the unit of simulated time
 	atLeast("ranks", float64(s.ranks), 1)
 	atLeast("step-millis", s.step, shortest)
 	atLeast("delay-millis", s.delay, 0)
@@ -114,6 +114,6 @@
 	for _, lead := range leads {
 		armAhead("arm ahead", fmt.Sprint(lead), lead, lead)
 	}
-	armAhead("arm ahead, growing", fmt.Sprintf("%d to %d", leastLead, mostLead), leastLead, mostLead)
+	armAhead("arm ahead, growing", fmt.Sprintf("%d to %d", growingMinLead, growingMaxLead), growingMinLead, growingMaxLead)
 	return table.Flush()
 }
--- a/internal/measure/burdockgrouplab/command_test.go
+++ b/internal/measure/burdockgrouplab/command_test.go
@@ -29,9 +29,9 @@
 	}
 }
 
-// A group whose change needs three rounds loses steps with a lead shorter than
-// these, and none with a longer one.
-func TestLeadBeyondTheRoundsLosesNoStep(t *testing.T) {
+// A map change needs three rounds. The group loses steps if the switch lead is shorter
+// than these rounds take, and none if it is longer.
+func TestLeadLongerThanRoundsLosesNoStep(t *testing.T) {
 	cfg := settings{ranks: 8, step: 4.5, delay: 1.5, tail: 0.3, load: 50, seed: 1}.config()
 	const changes, short, long = 20, 1, 8
 	near, err := MeasureArmAhead(cfg, changes, short, short)
@@ -47,10 +47,10 @@
 	}
 }
 
-// The network is slower than the longest lead allows for, so a change hardly ever
-// comes into force, and each attempt holds the ranks that were armed in time. The
-// group must go on with its old map all the same and lose only few of its steps.
-func TestChangeThatHardlySucceedsDoesNotHoldTheGroup(t *testing.T) {
+// The network is slower than the maximum switch lead allows for, so nearly every change
+// fails, and each attempt holds the ranks that were armed in time. The group must keep
+// running with its old map and lose only a few steps.
+func TestFailingChangeDoesNotHoldGroup(t *testing.T) {
 	cfg := settings{ranks: 16, step: 4.5, delay: 1.5, tail: 3, load: 10, seed: 1}.config()
 	cfg.Controllers, cfg.Lead, cfg.MaxLead = 1, 1, 1
 	w := NewWorld(cfg)
@@ -62,8 +62,8 @@
 	w.Want([]byte("second"))
 	const span = 10_000
 	w.Run(span)
-	const most = 0.2 // 0.47 if the attempts follow each other at once
-	if got := float64(w.lost-lost) / float64(w.now-begun); got > most {
-		t.Errorf("held for %.2f of the time, want at most %.2f", got, most)
+	const maxShare = 0.2 // 0.47 without a pause between attempts
+	if got := float64(w.lost-lost) / float64(w.now-begun); got > maxShare {
+		t.Errorf("held for %.2f of the time, want at most %.2f", got, maxShare)
 	}
 }
--- a/internal/measure/burdockgrouplab/engine.go
+++ b/internal/measure/burdockgrouplab/engine.go
@@ -7,24 +7,24 @@
 
 // engine is a model of one rank's engine.
 type engine struct {
-	status  burdockgroup.EngineStatus
-	done    burdockid.Step // lowest step that it has not finished
-	busy    bool           // runs a step
-	checks  bool           // refuses orders with an old fencing number
-	deaf    bool           // says that it is held, and runs on
-	rash    bool           // resumes whatever it is held for
-	highest burdockid.Fence
-	life    int // counts replacements
-	loadEnd instant
+	status      burdockgroup.EngineStatus
+	unfinished  burdockid.Step // lowest step that is not finished
+	busy        bool           // running a step
+	checksFence bool           // refuses orders with an old fencing number
+	ignoresHold bool           // reports that it is held, but keeps running
+	resumesAny  bool           // resumes even if held for another switch
+	maxFence    burdockid.Fence
+	generation  int // counts replacements
+	loadEnd     instant
 }
 
-// apply carries out an order and reports whether it was taken.
+// apply carries out an order and reports whether the engine accepted it.
 func (e *engine) apply(fence burdockid.Fence, order burdockgroup.EngineOrder) bool {
 	_, reads := order.(burdockgroup.ReadStatus)
-	if e.checks && fence < e.highest && !reads {
+	if e.checksFence && fence < e.maxFence && !reads {
 		return false
 	}
-	e.highest = max(e.highest, fence)
+	e.maxFence = max(e.maxFence, fence)
 	s := &e.status
 	switch order := order.(type) {
 	case burdockgroup.LoadMap:
@@ -41,7 +41,7 @@
 			s.Spare = 0
 		}
 	case burdockgroup.Resume:
-		if e.rash || s.Held && s.HoldAt == order.Step && s.Switch == order.Switch {
+		if e.resumesAny || s.Held && s.HoldAt == order.Step && s.Switch == order.Switch {
 			s.Held, s.HoldAt = false, 0
 		}
 	case burdockgroup.DropSwitch:
@@ -76,11 +76,11 @@
 
 // held reports whether the engine may not begin its next step.
 func (e *engine) held() bool {
-	return e.status.Held && e.status.Next >= e.status.HoldAt && !e.deaf
+	return e.status.Held && e.status.Next >= e.status.HoldAt && !e.ignoresHold
 }
 
-// begin begins the next step and returns it and the map that it uses. It
-// reports false if there is no map for it.
+// begin begins the next step and returns the step and the map that it uses. It
+// reports false if the engine has no map.
 func (e *engine) begin() (burdockid.Step, burdockid.MapVersion, bool) {
 	s := &e.status
 	if s.Switch.Map != 0 && s.Next >= s.Switch.At {
@@ -97,18 +97,18 @@
 
 func (e *engine) finish() {
 	e.busy = false
-	e.done = e.status.Next
+	e.unfinished = e.status.Next
 	e.status.LastStep, e.status.LastMap = e.status.Next-1, e.status.Base
 }
 
-// replace makes the engine a new one that is empty and has the same step to run.
+// replace puts an engine without maps in place of this one, at the same step.
 func (e *engine) replace() {
 	*e = engine{
-		status: burdockgroup.EngineStatus{Next: e.done},
-		done:   e.done,
-		checks: e.checks,
-		deaf:   e.deaf,
-		rash:   e.rash,
-		life:   e.life + 1,
+		status:      burdockgroup.EngineStatus{Next: e.unfinished},
+		unfinished:  e.unfinished,
+		checksFence: e.checksFence,
+		ignoresHold: e.ignoresHold,
+		resumesAny:  e.resumesAny,
+		generation:  e.generation + 1,
 	}
 }
--- a/internal/measure/burdockgrouplab/fault.go
+++ b/internal/measure/burdockgrouplab/fault.go
@@ -7,23 +7,23 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// faults is how badly the network does at present.
+// faults are the current failure rates of the network.
 type faults struct {
-	loss   float64 // share of messages that are lost
-	repeat float64 // share that arrive twice
-	late   float64 // share that arrive after the lease has passed to another
+	loss       float64 // share of messages that are lost
+	duplicates float64 // share that are delivered twice
+	late       float64 // share that may arrive after the lease has passed to another controller
 }
 
-// maxLate is the longest that a late message takes.
-const maxLate = 2 * leaseTime
+// maxLateDelay bounds the additional delay of a late message.
+const maxLateDelay = 2 * leaseTTL
 
-// send has a message arrive after a delay, or not, or twice.
+// send delivers a message after a delay; it may be lost or delivered twice.
 func (w *World) send(arrive func()) {
 	if w.rng.Float64() < w.faults.loss {
 		return
 	}
 	w.schedule(w.delay(), arrive)
-	if w.rng.Float64() < w.faults.repeat {
+	if w.rng.Float64() < w.faults.duplicates {
 		w.schedule(w.delay(), arrive)
 	}
 }
@@ -31,53 +31,53 @@
 func (w *World) delay() instant {
 	d := instant(w.cfg.DelayMicros) + instant(w.rng.ExpFloat64()*float64(w.cfg.TailMicros))
 	if w.rng.Float64() < w.faults.late {
-		d += instant(w.rng.Int64N(int64(maxLate)))
+		d += instant(w.rng.Int64N(int64(maxLateDelay)))
 	}
 	return d
 }
 
-// Spans of a Trial.
+// Durations of the parts of a Trial.
 const (
-	startSpan = 400 * millisecond
-	faultSpan = 1500 * millisecond
-	quietSpan = 20_000 * millisecond
-	faultGap  = 60 * millisecond // mean time between two faults
-	wantGap   = 150 * millisecond
+	startSpan     = 400 * millisecond
+	faultSpan     = 1500 * millisecond
+	quietSpan     = 20_000 * millisecond
+	faultInterval = 60 * millisecond // mean time between two faults
+	wantInterval  = 150 * millisecond
 )
 
-// quietSteps is how many steps a group has to run at the end of a Trial.
+// quietSteps is the number of steps that a group must run at the end of a Trial.
 const quietSteps = 20
 
-// Trial runs a World through random faults, then without any until the group
-// runs with the map that was wanted last. It returns the broken invariants,
-// being stuck among them.
+// Trial runs a World with random faults, then without faults until the group runs with
+// the last map that was wanted. It returns the violated invariants; a group that gets
+// stuck violates one.
 func (w *World) Trial() []string {
 	w.Want([]byte("first"))
 	w.run(w.now+startSpan, nil)
 	end := w.now + faultSpan
-	w.faults = faults{loss: w.rng.Float64() * 0.15, repeat: w.rng.Float64() * 0.15, late: w.rng.Float64() * 0.1}
-	w.nextWant(end, 0)
-	w.nextFault(end)
+	w.faults = faults{loss: w.rng.Float64() * 0.15, duplicates: w.rng.Float64() * 0.15, late: w.rng.Float64() * 0.1}
+	w.scheduleWant(end, 0)
+	w.scheduleFault(end)
 	w.run(end, w.failed)
-	w.heal()
+	w.endFaults()
 	w.Settle()
 	return w.failures
 }
 
-// Settle runs until the group runs with the map that was wanted last. Being
-// stuck is a failure. It reports whether there was none.
+// Settle runs the World until the group runs with the last map that was wanted. It
+// reports whether it did so without a failure; a group that gets stuck fails.
 func (w *World) Settle() bool {
-	settledAt := w.steps
-	w.settleAt = 0
+	settledStep := w.steps
+	w.settledAt = 0
 	w.run(w.now+quietSpan, func() bool {
 		if !w.settled() {
-			settledAt, w.settleAt = w.steps, 0
-		} else if w.settleAt == 0 {
-			w.settleAt = w.now
+			settledStep, w.settledAt = w.steps, 0
+		} else if w.settledAt == 0 {
+			w.settledAt = w.now
 		}
-		return w.failed() || w.steps >= settledAt+quietSteps
+		return w.failed() || w.steps >= settledStep+quietSteps
 	})
-	if !w.failed() && w.steps < settledAt+quietSteps {
+	if !w.failed() && w.steps < settledStep+quietSteps {
 		w.fail("group is stuck: %s", w.describe())
 	}
 	return !w.failed()
@@ -85,38 +85,38 @@
 
 func (w *World) failed() bool { return len(w.failures) > 0 }
 
-func (w *World) nextWant(end instant, n int) {
-	after := instant(w.rng.ExpFloat64() * float64(wantGap))
+func (w *World) scheduleWant(end instant, n int) {
+	after := instant(w.rng.ExpFloat64() * float64(wantInterval))
 	if w.now+after >= end {
 		return
 	}
 	w.schedule(after, func() {
 		w.Want(fmt.Appendf(nil, "map %d", n))
-		w.nextWant(end, n+1)
+		w.scheduleWant(end, n+1)
 	})
 }
 
-func (w *World) nextFault(end instant) {
-	after := instant(w.rng.ExpFloat64() * float64(faultGap))
+func (w *World) scheduleFault(end instant) {
+	after := instant(w.rng.ExpFloat64() * float64(faultInterval))
 	if w.now+after >= end {
 		return
 	}
 	w.schedule(after, func() {
-		w.oneFault()
-		w.nextFault(end)
+		w.injectFault()
+		w.scheduleFault(end)
 	})
 }
 
-// oneFault causes one of the failures that the product is made for.
-func (w *World) oneFault() {
+// injectFault causes one of the failures that the group must survive.
+func (w *World) injectFault() {
 	rank := burdockid.Rank(w.rng.IntN(len(w.sites)))
-	duty := w.duties[w.rng.IntN(len(w.duties))]
-	pause := millisecond + instant(w.rng.Int64N(int64(2*leaseTime)))
+	process := w.processes[w.rng.IntN(len(w.processes))]
+	pause := millisecond + instant(w.rng.Int64N(int64(2*leaseTTL)))
 	switch w.rng.IntN(8) {
 	case 0, 1:
-		w.killDuty(duty, pause)
+		w.killController(process, pause)
 	case 2, 3:
-		w.freezeDuty(duty, pause)
+		w.freezeController(process, pause)
 	case 4:
 		w.ReplaceAgent(rank, pause.millis()/8)
 	case 5:
@@ -128,16 +128,16 @@
 	}
 }
 
-// heal ends all faults.
-func (w *World) heal() {
+// endFaults ends all faults.
+func (w *World) endFaults() {
 	w.faults = faults{}
 	w.store.down = false
-	for _, d := range w.duties {
-		w.wakeDuty(d)
+	for _, p := range w.processes {
+		w.resumeController(p)
 	}
 }
 
-// settled reports whether all engines run with the map that is wanted.
+// settled reports whether all engines run with the wanted map.
 func (w *World) settled() bool {
 	first := w.sites[0].engine.status.Base
 	for _, s := range w.sites {
@@ -146,7 +146,7 @@
 			return false
 		}
 	}
-	return first == w.inForce && slices.Equal(w.bytes[first], w.wanted)
+	return first == w.inForce && slices.Equal(w.contents[first], w.wanted)
 }
 
 func (w *World) describe() string {
@@ -157,10 +157,10 @@
 			text += fmt.Sprintf(" phase %s;", s.agent.State().Phase)
 		}
 	}
-	for _, d := range w.duties {
-		if d.controller != nil {
-			state := d.controller.State()
-			text += fmt.Sprintf("\ncontroller %d: %s %+v goal %+v events %+v", d.index, state.Phase, state.Lease, state.Goal, state.Events)
+	for _, p := range w.processes {
+		if p.controller != nil {
+			state := p.controller.State()
+			text += fmt.Sprintf("\ncontroller %d: %s %+v goal %+v events %+v", p.index, state.Phase, state.Lease, state.Goal, state.Events)
 		}
 	}
 	return text
--- a/internal/measure/burdockgrouplab/measure.go
+++ b/internal/measure/burdockgrouplab/measure.go
@@ -12,15 +12,14 @@
 
 const second = 1000 * millisecond
 
-// NotInForce is the type of the error for a change that did not come into force
-// in the time that the lab gives it.
+// NotInForce is the error type for a map change that did not come into force in time.
 var NotInForce = errorx.NewNamespace("grouplab").NewType("notInForce")
 
 // Cost is what changes of the map cost a group.
 type Cost struct {
-	LostSteps []float64 // of each change, sorted
-	Millis    float64   // mean time from the wish until the map is in force
-	Orders    float64   // mean number of orders for a change
+	LostSteps []float64 // one value per change, sorted
+	Millis    float64   // mean time from the request until the map is in force
+	Orders    float64   // mean number of orders per change
 }
 
 // Mean returns the mean number of steps lost.
@@ -37,8 +36,8 @@
 	return c.LostSteps[int(q*float64(len(c.LostSteps)-1))]
 }
 
-// MeasureArmAhead changes the map of a group without faults by the state
-// machines, with a lead that may grow from lead to maxLead.
+// MeasureArmAhead measures map changes by the state machines of burdockgroup in a group
+// without faults. The switch lead may grow from lead to maxLead.
 func MeasureArmAhead(cfg Config, changes int, lead, maxLead burdockid.Step) (Cost, error) {
 	cfg.Controllers, cfg.Lead, cfg.MaxLead = 1, lead, maxLead
 	w := NewWorld(cfg)
@@ -54,22 +53,22 @@
 			return Cost{}, NotInForce.New("change %d not in force in %d s", i+1, quietSpan/second)
 		}
 		cost.LostSteps = append(cost.LostSteps, float64(w.lost-lost)/float64(cfg.StepMicros))
-		cost.Millis += float64(w.settleAt-begun) / float64(millisecond) / float64(changes)
+		cost.Millis += float64(w.settledAt-begun) / float64(millisecond) / float64(changes)
 		cost.Orders += float64(w.orders-orders) / float64(changes)
 	}
 	slices.Sort(cost.LostSteps)
 	return cost, nil
 }
 
-// MeasurePausing samples what the plain way would cost: stop all ranks, have
-// all switch, let all go on, each in a round of its own. Loading is part of
-// the pause or goes before it.
+// MeasurePausing samples the cost of the simple method: stop all ranks, switch all, and
+// resume all, with one round for each. The map is loaded during the pause, or before it
+// if loadFirst is set.
 func MeasurePausing(cfg Config, changes int, loadFirst bool) Cost {
 	w := &World{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1))}
 	var cost Cost
 	for range changes {
 		stopped, stopAcked := w.round()
-		pauseBegins := stopped + instant(w.rng.Int64N(cfg.StepMicros+1)) // the step that runs is finished
+		pauseBegins := stopped + instant(w.rng.Int64N(cfg.StepMicros+1)) // the running step is finished first
 		now := stopAcked
 		load := w.slowestLoad()
 		if !loadFirst {
@@ -83,21 +82,21 @@
 		}
 		cost.Millis += float64(now) / float64(millisecond) / float64(changes)
 	}
-	const orders = 4 // load, stop, switch, go on
+	const orders = 4 // load, stop, switch, resume
 	cost.Orders = float64(orders * cfg.Ranks)
 	slices.Sort(cost.LostSteps)
 	return cost
 }
 
-// round returns when the first rank gets an order, and when the last answer
-// to it has come back.
+// round returns when the first rank receives an order and when the last answer has
+// arrived.
 func (w *World) round() (first, last instant) {
 	for i := range w.cfg.Ranks {
 		arrives := w.delay()
 		if i == 0 || arrives < first {
 			first = arrives
 		}
-		last = max(last, arrives+2*agentTime+w.delay())
+		last = max(last, arrives+2*engineLatency+w.delay())
 	}
 	return first, last
 }
@@ -105,7 +104,7 @@
 func (w *World) lastArrival() instant {
 	var last instant
 	for range w.cfg.Ranks {
-		last = max(last, w.delay()+agentTime)
+		last = max(last, w.delay()+engineLatency)
 	}
 	return last
 }
--- a/internal/measure/burdockgrouplab/queue.go
+++ b/internal/measure/burdockgrouplab/queue.go
@@ -6,24 +6,24 @@
 	"burdockbend.example/burdockbend/internal/base/burdockclock"
 )
 
-// instant is a time in a World in microseconds: a step takes a few
-// milliseconds, so whole ones are too coarse to measure what a change costs.
+// instant is a simulated time or duration in microseconds. A step takes a few
+// milliseconds, so milliseconds are too coarse to measure what a change costs.
 type instant int64
 
 const millisecond instant = 1000
 
-func span(m burdockclock.Millis) instant { return instant(m) * millisecond }
+func toInstant(m burdockclock.Millis) instant { return instant(m) * millisecond }
 
 func (t instant) millis() burdockclock.Millis { return burdockclock.Millis(t / millisecond) }
 
-// event is something that happens in a World at a time.
+// event is a function to call at a simulated time.
 type event struct {
 	at  instant
-	seq uint64 // events of one time happen in the order of their making
+	seq uint64 // orders events of the same time by their creation
 	do  func()
 }
 
-// events is a heap of events by time.
+// events is a heap of events, ordered by time.
 type events []event
 
 // Len implements heap.Interface.
@@ -52,16 +52,16 @@
 	return last
 }
 
-// schedule has do happen after a time.
+// schedule calls do after the given time.
 func (w *World) schedule(after instant, do func()) {
 	w.seq++
 	heap.Push(&w.queue, event{at: w.now + after, seq: w.seq, do: do})
 }
 
-// Run lets a time pass.
-func (w *World) Run(time burdockclock.Millis) { w.run(w.now+span(time), nil) }
+// Run advances simulated time.
+func (w *World) Run(time burdockclock.Millis) { w.run(w.now+toInstant(time), nil) }
 
-// run lets events happen until the time end, or until stop says so.
+// run processes events until the time end, or until stop reports true.
 func (w *World) run(end instant, stop func() bool) {
 	for len(w.queue) > 0 && w.queue[0].at <= end {
 		next := heap.Pop(&w.queue).(event)
--- a/internal/measure/burdockgrouplab/site.go
+++ b/internal/measure/burdockgrouplab/site.go
@@ -9,29 +9,29 @@
 )
 
 func (w *World) startAgent(s *site) {
-	s.life++
-	s.arrived = 0
+	s.generation++
+	s.lastOrderAt = 0
 	s.agent = burdockgroup.NewRank(burdockgroup.RankConfig{
 		Rank:        s.rank,
 		Ranks:       w.cfg.Ranks,
-		Incarnation: burdockid.Incarnation(fmt.Sprintf("%d.%d", s.rank, s.life)),
-		Retry:       retry,
-		NotifyDelay: patience,
+		Incarnation: burdockid.Incarnation(fmt.Sprintf("%d.%d", s.rank, s.generation)),
+		Retry:       retryInterval,
+		NotifyDelay: notifyDelay,
 	})
-	w.tickAgent(s, s.life)
+	w.tickAgent(s, s.generation)
 }
 
-func (w *World) tickAgent(s *site, life int) {
-	if s.life != life || s.agent == nil {
+func (w *World) tickAgent(s *site, generation int) {
+	if s.generation != generation || s.agent == nil {
 		return
 	}
-	w.toAgent(s, life, burdockgroup.RankTick{})
-	w.schedule(tickTime, func() { w.tickAgent(s, life) })
+	w.toAgent(s, generation, burdockgroup.RankTick{})
+	w.schedule(tickInterval, func() { w.tickAgent(s, generation) })
 }
 
-// toAgent gives an input to the agent if it still is the one meant.
-func (w *World) toAgent(s *site, life int, in burdockgroup.RankInput) {
-	if s.life != life || s.agent == nil || s.down {
+// toAgent hands an input to the agent unless the agent was replaced or is down.
+func (w *World) toAgent(s *site, generation int, in burdockgroup.RankInput) {
+	if s.generation != generation || s.agent == nil || s.down {
 		return
 	}
 	for _, out := range s.agent.Handle(w.now.millis(), in) {
@@ -40,25 +40,25 @@
 }
 
 func (w *World) fromAgent(s *site, out burdockgroup.RankOutput) {
-	life := s.life
+	generation := s.generation
 	switch out := out.(type) {
 	case burdockgroup.SendReport:
 		w.send(func() { w.toController(out.Report) })
 	case burdockgroup.ReadFence:
-		w.readFence(s, life)
+		w.readFence(s, generation)
 	case burdockgroup.AskFence:
 		peer := w.sites[out.To]
-		w.send(func() { w.toAgent(peer, peer.life, burdockgroup.FenceAsked{From: s.rank}) })
+		w.send(func() { w.toAgent(peer, peer.generation, burdockgroup.FenceAsked{From: s.rank}) })
 	case burdockgroup.AnswerFence:
 		peer := w.sites[out.To]
-		told := burdockgroup.FenceAnswered{From: s.rank, Fence: w.learned(out.Fence), Known: out.Known}
-		w.send(func() { w.toAgent(peer, peer.life, told) })
+		answer := burdockgroup.FenceAnswered{From: s.rank, Fence: w.learnedFence(out.Fence), Known: out.Known}
+		w.send(func() { w.toAgent(peer, peer.generation, answer) })
 	case burdockgroup.OrderEngine:
-		w.schedule(w.engineDelay(s), func() { w.toEngine(s, life, out) })
+		w.schedule(w.engineDelay(s), func() { w.toEngine(s, generation, out) })
 	case burdockgroup.NotifyWaiting:
 		w.send(func() {
-			for _, d := range w.duties {
-				w.handle(d, burdockgroup.RankWaiting(out))
+			for _, p := range w.processes {
+				w.handle(p, burdockgroup.RankWaiting(out))
 			}
 		})
 	case burdockgroup.MapMismatch:
@@ -66,18 +66,18 @@
 	}
 }
 
-// engineDelay returns how long an order takes to the engine. One agent's orders
-// arrive in turn; those of one that was replaced may come after its successor's.
+// engineDelay returns how long an order takes to the engine. The orders of one agent
+// arrive in sequence; those of a replaced agent may arrive after its successor's.
 func (w *World) engineDelay(s *site) instant {
-	arrives := w.now + agentTime
+	arrives := w.now + engineLatency
 	if w.cfg.EngineLate && w.rng.Float64() < w.faults.late {
-		arrives += instant(w.rng.Int64N(int64(leaseTime)))
+		arrives += instant(w.rng.Int64N(int64(leaseTTL)))
 	}
-	s.arrived = max(s.arrived, arrives)
-	return s.arrived - w.now
+	s.lastOrderAt = max(s.lastOrderAt, arrives)
+	return s.lastOrderAt - w.now
 }
 
-func (w *World) toEngine(s *site, life int, out burdockgroup.OrderEngine) {
+func (w *World) toEngine(s *site, generation int, out burdockgroup.OrderEngine) {
 	if s.down {
 		return
 	}
@@ -85,79 +85,79 @@
 	before := e.status.Loading
 	taken := e.apply(out.Fence, out.Order)
 	if e.status.Loading != before && e.status.Loading != 0 {
-		w.loadLater(s)
+		w.scheduleLoad(s)
 	}
 	status := e.status
-	w.schedule(agentTime, func() {
-		w.toAgent(s, life, burdockgroup.EngineAnswered{Ticket: out.Ticket, Status: status, Failed: !taken})
+	w.schedule(engineLatency, func() {
+		w.toAgent(s, generation, burdockgroup.EngineAnswered{Ticket: out.Ticket, Status: status, Failed: !taken})
 	})
-	w.tryBegin()
+	w.beginSteps()
 }
 
-func (w *World) loadLater(s *site) {
-	e, life, v := s.engine, s.engine.life, s.engine.status.Loading
+func (w *World) scheduleLoad(s *site) {
+	e, generation, v := s.engine, s.engine.generation, s.engine.status.Loading
 	e.loadEnd = w.now + instant(w.cfg.LoadMicros) + instant(w.rng.Int64N(w.cfg.LoadMicros+1))
 	w.schedule(e.loadEnd-w.now, func() {
-		if s.engine.life == life && e.status.Loading == v && w.now >= e.loadEnd {
+		if s.engine.generation == generation && e.status.Loading == v && w.now >= e.loadEnd {
 			e.loaded()
 		}
 	})
 }
 
-func (w *World) readFence(s *site, life int) {
-	w.askStore(func() func() {
-		fence := w.learned(w.store.fence)
-		return func() { w.toAgent(s, life, burdockgroup.FenceFromStore{Fence: fence}) }
+func (w *World) readFence(s *site, generation int) {
+	w.callStore(func() func() {
+		fence := w.learnedFence(w.store.fence)
+		return func() { w.toAgent(s, generation, burdockgroup.FenceFromStore{Fence: fence}) }
 	})
 }
 
-func (w *World) learned(f burdockid.Fence) burdockid.Fence {
+func (w *World) learnedFence(f burdockid.Fence) burdockid.Fence {
 	if w.cfg.Hooks.Learned != nil {
 		return w.cfg.Hooks.Learned(f)
 	}
 	return f
 }
 
-// OrderEngine has an engine take an order that its agent doesn't know of, as
-// one that an agent sent before it was replaced.
+// OrderEngine applies an order that the rank's current agent doesn't know of, such as
+// one sent by its predecessor.
 func (w *World) OrderEngine(rank burdockid.Rank, order burdockgroup.EngineOrder) {
 	w.sites[rank].engine.apply(w.store.fence, order)
 }
 
-// ReplaceAgent ends an agent; a new one starts after a while.
+// ReplaceAgent ends an agent; a new one starts after the given time.
 func (w *World) ReplaceAgent(rank burdockid.Rank, after burdockclock.Millis) {
 	s := w.sites[rank]
 	s.agent = nil
-	s.life++
-	w.schedule(span(after), func() {
+	s.generation++
+	w.schedule(toInstant(after), func() {
 		if s.agent == nil && !s.down {
 			w.startAgent(s)
 		}
 	})
 }
 
-// ReplaceVM ends an agent and its engine; new ones, both empty, start after a
-// while.
+// ReplaceVM ends an agent and its engine; new ones, without state, start after the given
+// time.
 func (w *World) ReplaceVM(rank burdockid.Rank, after burdockclock.Millis) {
 	s := w.sites[rank]
 	s.agent = nil
-	s.life++
+	s.generation++
 	s.down = true
 	s.engine.replace()
-	w.restartEmpty()
-	w.schedule(span(after), func() {
+	w.advanceEmptyGroup()
+	w.schedule(toInstant(after), func() {
 		if s.down {
 			s.down = false
 			w.startAgent(s)
-			w.tryBegin()
+			w.beginSteps()
 		}
 	})
 }
 
-// RestartEngine replaces an engine by an empty one beside a living agent.
+// RestartEngine replaces an engine by an empty one while its agent keeps running.
 func (w *World) RestartEngine(rank burdockid.Rank) {
 	s := w.sites[rank]
 	s.engine.replace()
-	w.restartEmpty()
-	w.schedule(agentTime, func() { w.toAgent(s, s.life, burdockgroup.EngineLost{}) })
+	w.advanceEmptyGroup()
+	w.schedule(engineLatency, func() { w.toAgent(s, s.generation, burdockgroup.EngineLost{}) })
 }
