--- a/internal/measure/burdockcapacitylab/command.go
+++ b/internal/measure/burdockcapacitylab/command.go
@@ -1,6 +1,6 @@
-// Package burdockcapacitylab measures what the system's parts cost at today's
-// size and at the design's, for docs/CAPACITY.md: memory, processor time and
-// sizes of messages. Whole processes are measured by its benchmark.
+// Package burdockcapacitylab measures the parts of the system at their current size and
+// at the design size, for docs/CAPACITY.md: memory, processor time and message sizes.
+// Its benchmark measures whole processes.
 package burdockcapacitylab
 
 import (
@@ -31,7 +31,7 @@
 	if err := printConfig(w); err != nil {
 		return err
 	}
-	for _, table := range []func(io.Writer) error{printPools, printLedgers, printHomes, printHandovers} {
+	for _, table := range []func(io.Writer) error{printPools, printLedgers, printOwners, printHandovers} {
 		if err := table(w); err != nil {
 			return err
 		}
@@ -80,7 +80,7 @@
 	return table.Flush()
 }
 
-func printHomes(w io.Writer) error {
+func printOwners(w io.Writer) error {
 	table := newTable(w, "One agent's round over the homes of its service", "members\tsettled µs\tno homes µs\tone rank µs\t")
 	for _, n := range []int{16, 67, 633, 3800} {
 		c := MeasureHomes(n)
@@ -97,7 +97,7 @@
 	return table.Flush()
 }
 
-// micros formats a span with the digits that a measurement bears.
+// micros formats a duration in microseconds with three significant digits.
 func micros(d time.Duration) string {
 	return fmt.Sprintf("%.3g", float64(d)/float64(time.Microsecond))
 }
--- a/internal/measure/burdockcapacitylab/config.go
+++ b/internal/measure/burdockcapacitylab/config.go
@@ -18,17 +18,17 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// ConfigCost is what the configuration of one size costs a process.
+// ConfigCost is what a process spends on a configuration of one size.
 type ConfigCost struct {
 	Size  Size
 	Keys  int
-	Bytes int64 // of view and fleet on the heap
-	// Merge is the processor time to take up one changed upstream, MergeHome
-	// one changed home of a slot.
+	Bytes int64 // heap size of the view and the fleet
+	// Merge is the processor time to apply one changed upstream, MergeHome the time to
+	// apply one changed owner of a slot.
 	Merge     time.Duration
 	MergeHome time.Duration
-	// The three answers to a pull: without news, with one change, by buckets
-	// for a process that knows nothing. Times are without the transport.
+	// Three answers to a pull: without a difference, with one change, and by buckets
+	// for a process without any configuration. Times exclude the transport.
 	SyncEqual   Answer
 	SyncOne     Answer
 	SyncBuckets Answer
@@ -36,35 +36,34 @@
 	Listing int
 }
 
-// Answer is what one message costs the process that answers, without the
-// transport.
+// Answer is what one answer costs the process that sends it, without the transport.
 type Answer struct {
 	Time  time.Duration
 	Bytes int
 }
 
-// MeasureConfig measures a configuration of a size.
+// MeasureConfig measures a configuration of the given size.
 func MeasureConfig(size Size) (ConfigCost, error) {
 	f := Fleet(size)
 	entries, err := Entries(f)
 	if err != nil {
 		return ConfigCost{}, err
 	}
-	s, held := heapOf(func() state { return newState(cloneAll(entries)) })
-	cost := ConfigCost{Size: size, Keys: s.view.Len(), Bytes: held}
+	s, heapBytes := heapOf(func() state { return newState(copyEntries(entries)) })
+	cost := ConfigCost{Size: size, Keys: s.view.Len(), Bytes: heapBytes}
 	if cost.Merge, err = mergeUpstream(s, size); err != nil {
 		return ConfigCost{}, err
 	}
-	if cost.Listing, err = listing(entries); err != nil {
+	if cost.Listing, err = listingSize(entries); err != nil {
 		return ConfigCost{}, err
 	}
-	cost.MergeHome = mergeHome(s, entries[len(entries)-1])
+	cost.MergeHome = mergeOwner(s, entries[len(entries)-1])
 	err = cost.measureSync(s, size)
 	runtime.KeepAlive(s)
 	return cost, err
 }
 
-func listing(entries []burdockconfig.Entry) (int, error) {
+func listingSize(entries []burdockconfig.Entry) (int, error) {
 	var l burdockstore.Listing
 	for i, e := range entries {
 		value, err := burdockconfig.Encode(e)
@@ -77,9 +76,9 @@
 	return len(data), err
 }
 
-// cloneAll copies the values, so that they count for the process that holds
-// them.
-func cloneAll(entries []burdockconfig.Entry) []burdockconfig.Entry {
+// copyEntries copies the entries with their values, so that the heap measurement
+// includes them.
+func copyEntries(entries []burdockconfig.Entry) []burdockconfig.Entry {
 	copied := make([]burdockconfig.Entry, len(entries))
 	for i, e := range entries {
 		e.Key, e.Mark, e.Value = string([]byte(e.Key)), string([]byte(e.Mark)), append([]byte(nil), e.Value...)
@@ -88,9 +87,9 @@
 	return copied
 }
 
-// mergeUpstream measures one change of one upstream: its VM was replaced.
+// mergeUpstream measures the change of one upstream whose VM was replaced.
 func mergeUpstream(s state, size Size) (time.Duration, error) {
-	e, err := changed(s, size)
+	e, err := changedUpstream(s, size)
 	if err != nil {
 		return 0, err
 	}
@@ -100,7 +99,7 @@
 	}), nil
 }
 
-func changed(s state, size Size) (burdockconfig.Entry, error) {
+func changedUpstream(s state, size Size) (burdockconfig.Entry, error) {
 	u := upstream(0, size)
 	u.VM = "vm-replaced"
 	key := burdockentity.UpstreamPrefix + string(u.Name)
@@ -112,7 +111,7 @@
 	return entry(key, current.Version+1, entity.Value), nil
 }
 
-func mergeHome(s state, e burdockconfig.Entry) time.Duration {
+func mergeOwner(s state, e burdockconfig.Entry) time.Duration {
 	return processorTime(func() {
 		e.Version++
 		s.view.Merge([]burdockconfig.Entry{e})
@@ -123,57 +122,57 @@
 	clock := burdockclock.System()
 	h := burdocksync.NewHandler(s.view, burdocksync.NewSource(clock))
 	before := s.view.Digest()
-	e, err := changed(s, size)
+	e, err := changedUpstream(s, size)
 	if err != nil {
 		return err
 	}
 	s.view.Merge([]burdockconfig.Entry{e})
 	now := s.view.Digest()
 	for _, m := range []struct {
-		answer *Answer
-		ask    *burdockwire.SyncRequest
+		answer  *Answer
+		request *burdockwire.SyncRequest
 	}{
 		{&c.SyncEqual, &burdockwire.SyncRequest{Digest: uint64(now)}},
 		{&c.SyncOne, &burdockwire.SyncRequest{Digest: uint64(before)}},
 		{&c.SyncBuckets, &burdockwire.SyncRequest{BucketDigests: make([]uint64, len(s.view.Buckets()))}},
 	} {
-		if *m.answer, err = answer(h, m.ask); err != nil {
+		if *m.answer, err = answer(h, m.request); err != nil {
 			return err
 		}
 	}
 	if c.SyncBuckets.Bytes < c.SyncOne.Bytes {
-		return fmt.Errorf("a pull of everything came to %d bytes, less than one change", c.SyncBuckets.Bytes)
+		return fmt.Errorf("an answer with the whole configuration has %d bytes, fewer than one with a single change", c.SyncBuckets.Bytes)
 	}
 	return nil
 }
 
-// answer measures one answer, with its encoding.
-func answer(h *burdocksync.Handler, ask *burdockwire.SyncRequest) (Answer, error) {
+// answer measures one answer, including its encoding.
+func answer(h *burdocksync.Handler, request *burdockwire.SyncRequest) (Answer, error) {
 	var a Answer
-	var failed error
+	var callErr error
 	a.Time = processorTime(func() {
-		res, err := h.Sync(context.Background(), connect.NewRequest(ask))
+		res, err := h.Sync(context.Background(), connect.NewRequest(request))
 		if err != nil {
-			failed = err
+			callErr = err
 			return
 		}
 		data, err := proto.Marshal(res.Msg)
 		if err != nil {
-			failed = err
+			callErr = err
 			return
 		}
 		a.Bytes = len(data)
 	})
-	return a, failed
+	return a, callErr
 }
 
-// Handover is the size of the message that hands a slot over.
+// Handover is the size of the message that hands over a slot.
 type Handover struct {
 	Keys  int
 	Bytes int
 }
 
-// MeasureHandover returns the size of a handover of keys.
+// MeasureHandover returns the size of a handover of the given number of keys.
 func MeasureHandover(keys int) Handover {
 	m := &burdockwire.TakeKeysRequest{FromIncarnation: string(burdockid.NewIncarnation()), Slot: 255, SinceMillis: int64(burdockclock.System().Now())}
 	for i := range keys {
--- a/internal/measure/burdockcapacitylab/cost.go
+++ b/internal/measure/burdockcapacitylab/cost.go
@@ -7,46 +7,46 @@
 	"golang.org/x/sys/unix"
 )
 
-// heapOf returns what build keeps alive on the heap.
+// heapOf returns the result of build and the heap bytes that it retains.
 func heapOf[T any](build func() T) (T, int64) {
-	before := heap()
+	before := liveHeap()
 	kept := build()
-	held := heap() - before
-	return kept, held
+	heapBytes := liveHeap() - before
+	return kept, heapBytes
 }
 
-func heap() int64 {
+func liveHeap() int64 {
 	runtime.GC()
-	runtime.GC() // what the first one finalised
+	runtime.GC() // frees what the first run finalized
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return int64(stats.HeapAlloc)
 }
 
-// atLeast is the processor time over which an operation is repeated.
-const atLeast = 300 * time.Millisecond
+// minMeasuredTime is the minimum processor time for which an operation is repeated.
+const minMeasuredTime = 300 * time.Millisecond
 
-// processorTime returns what one call of operation costs in processor time of
-// the whole process, collection of garbage included. Others' load on the
-// machine shows in it far less than in time on the wall.
-func processorTime(operation func()) time.Duration {
-	operation()
+// processorTime returns the processor time of one call of op, measured for the whole
+// process and including garbage collection. Other load on the machine affects it far
+// less than wall-clock time.
+func processorTime(op func()) time.Duration {
+	op()
 	runtime.GC()
 	for n := 1; ; n *= 2 {
-		before := used()
+		before := processCPUTime()
 		for range n {
-			operation()
+			op()
 		}
-		if spent := used() - before; spent >= atLeast {
+		if spent := processCPUTime() - before; spent >= minMeasuredTime {
 			return spent / time.Duration(n)
 		}
 	}
 }
 
-func used() time.Duration {
+func processCPUTime() time.Duration {
 	var usage unix.Rusage
 	if err := unix.Getrusage(unix.RUSAGE_SELF, &usage); err != nil {
-		panic(err) // it fails only for a wrong argument
+		panic(err) // fails only for an invalid argument
 	}
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
--- a/internal/measure/burdockcapacitylab/fleet.go
+++ b/internal/measure/burdockcapacitylab/fleet.go
@@ -12,7 +12,7 @@
 	"burdockbend.example/burdockbend/internal/state/burdockhome"
 )
 
-// Size is how large a configuration is.
+// Size is how many things of each kind a configuration has.
 type Size struct {
 	Upstreams int
 	Customers int
@@ -20,7 +20,7 @@
 	Entries   int
 }
 
-// Sizes are today's, one between, and the design's.
+// Sizes are the current size, an intermediate one, and the design size.
 var Sizes = []Size{
 	{Upstreams: 16, Customers: 10, Services: 1, Entries: 3},
 	{Upstreams: 400, Customers: 400, Services: 6, Entries: 35},
@@ -39,7 +39,7 @@
 	return burdockid.Upstream(fmt.Sprintf("replica-%04d", i))
 }
 
-// Fleet returns a membership of a size. Its addresses lead nowhere.
+// Fleet returns a membership of the given size. Nothing listens on its addresses.
 func Fleet(size Size) burdockmember.Fleet {
 	f := burdockmember.Fleet{Site: "gt-gua"}
 	for i := range dataCentreCount {
@@ -78,8 +78,8 @@
 	}
 }
 
-// Entries returns the configuration of a fleet: its membership, and for each
-// service the homes of all slots, each with the upstream that it prefers.
+// Entries returns the configuration of a fleet: its membership, and for each service the
+// owner of every slot, which is the upstream that the slot prefers.
 func Entries(f burdockmember.Fleet) ([]burdockconfig.Entry, error) {
 	entities, err := burdockmember.Split(f)
 	if err != nil {
@@ -90,21 +90,21 @@
 		entries = append(entries, entry(e.Key, 1, e.Value))
 	}
 	for _, s := range f.Services {
-		homes, err := homesOf(s.Name, f.Upstreams)
+		owners, err := ownerEntries(s.Name, f.Upstreams)
 		if err != nil {
 			return nil, err
 		}
-		entries = append(entries, homes...)
+		entries = append(entries, owners...)
 	}
 	return entries, nil
 }
 
-// entry returns a configuration entry with a mark as long as a writer's.
+// entry returns a configuration entry whose mark is as long as a real writer's.
 func entry(key string, version burdockid.Version, value []byte) burdockconfig.Entry {
 	return burdockconfig.Entry{Key: key, Version: version, Mark: string(burdockid.NewRequest()), Value: value}
 }
 
-func homesOf(service burdockid.Service, upstreams []burdockmember.Upstream) ([]burdockconfig.Entry, error) {
+func ownerEntries(service burdockid.Service, upstreams []burdockmember.Upstream) ([]burdockconfig.Entry, error) {
 	var members []burdockid.Upstream
 	for _, u := range upstreams {
 		if u.Service == service {
@@ -113,8 +113,8 @@
 	}
 	var entries []burdockconfig.Entry
 	for slot := range burdockledger.Slot(burdockledger.SlotCount) {
-		home := burdockhome.Owner{Upstream: burdockhome.Order(service, slot, members)[0], Incarnation: burdockid.NewIncarnation()}
-		value, err := burdockhome.Encode(home)
+		owner := burdockhome.Owner{Upstream: burdockhome.Order(service, slot, members)[0], Incarnation: burdockid.NewIncarnation()}
+		value, err := burdockhome.Encode(owner)
 		if err != nil {
 			return nil, err
 		}
@@ -123,7 +123,7 @@
 	return entries, nil
 }
 
-// state is the configuration as a process holds it.
+// state is the configuration in the memory of a process.
 type state struct {
 	view  *burdockconfig.View
 	fleet *burdockfleet.Fleet
--- a/internal/measure/burdockcapacitylab/fleet_test.go
+++ b/internal/measure/burdockcapacitylab/fleet_test.go
@@ -6,9 +6,9 @@
 	"burdockbend.example/burdockbend/internal/decide/burdockledger"
 )
 
-// What is measured must be a configuration that processes can read: entries
-// that they pass over would cost too little.
-func TestEntriesAreInForce(t *testing.T) {
+// The measured configuration must be valid: processes skip entries that they can't read,
+// which costs less than applying them.
+func TestEntriesAreApplied(t *testing.T) {
 	for _, size := range Sizes[:2] {
 		entries, err := Entries(Fleet(size))
 		if err != nil {
@@ -21,17 +21,17 @@
 		fleet := s.fleet.Now()
 		got := Size{Upstreams: len(fleet.Upstreams), Customers: len(fleet.Customers), Services: len(fleet.Services), Entries: len(fleet.Entries)}
 		if got != size {
-			t.Errorf("size in force: got %+v, want %+v", got, size)
+			t.Errorf("applied size: got %+v, want %+v", got, size)
 		}
 		for service := range fleet.Services {
 			if got, want := len(fleet.KeyOwners[service]), burdockledger.SlotCount; got != want {
-				t.Errorf("homes of %s: got %d, want %d", service, got, want)
+				t.Errorf("slot owners of %s: got %d, want %d", service, got, want)
 			}
 		}
 	}
 }
 
-func TestHeapOfCountsWhatIsKept(t *testing.T) {
+func TestHeapOfCountsRetainedBytes(t *testing.T) {
 	const size = 8 << 20
 	kept, got := heapOf(func() []byte { return make([]byte, size) })
 	if got < size || got > 2*size {
--- a/internal/measure/burdockcapacitylab/handshake_test.go
+++ b/internal/measure/burdockcapacitylab/handshake_test.go
@@ -13,12 +13,12 @@
 	"time"
 )
 
-// BenchmarkHandshake measures what a new connection between two processes
-// costs under mutual TLS, both ends together.
+// BenchmarkHandshake measures the cost of a mutual TLS handshake between two processes,
+// for both ends together.
 func BenchmarkHandshake(b *testing.B) {
 	cfg := mutualTLS(b)
 	var bytes atomic.Int64
-	before := used()
+	before := processCPUTime()
 	for b.Loop() {
 		client, server := net.Pipe()
 		a, z := tls.Client(countedConn{client, &bytes}, cfg), tls.Server(countedConn{server, &bytes}, cfg)
@@ -34,15 +34,15 @@
 		_, _ = client.Close(), server.Close()
 	}
 	b.ReportMetric(float64(bytes.Load())/float64(b.N), "wire-B/op")
-	b.ReportMetric(float64((used()-before).Microseconds())/float64(b.N), "cpu-µs/op")
+	b.ReportMetric(float64((processCPUTime()-before).Microseconds())/float64(b.N), "cpu-µs/op")
 }
 
-// ticketReader takes the session tickets that the server sends.
+// ticketReader reads the session tickets that the server sends.
 type ticketReader struct{ conn *tls.Conn }
 
 func (r ticketReader) run() { _, _ = r.conn.Read(make([]byte, 1)) }
 
-// handshake is the server's side of one connection.
+// handshake is the server side of one connection.
 type handshake struct {
 	conn *tls.Conn
 	done chan error
@@ -50,7 +50,7 @@
 
 func (h *handshake) run() { h.done <- h.conn.Handshake() }
 
-// countedConn counts what one end writes.
+// countedConn counts the bytes that one end writes.
 type countedConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -62,7 +62,7 @@
 	return c.Conn.Write(b)
 }
 
-// mutualTLS returns one configuration for both ends.
+// mutualTLS returns a configuration for both ends.
 func mutualTLS(b *testing.B) *tls.Config {
 	b.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
--- a/internal/measure/burdockcapacitylab/process_test.go
+++ b/internal/measure/burdockcapacitylab/process_test.go
@@ -28,7 +28,7 @@
 	os.Exit(status)
 }
 
-// counter passes TCP connections on to a target and counts their bytes.
+// counter forwards TCP connections to a target and counts their bytes.
 type counter struct {
 	target   string
 	listener net.Listener
@@ -84,8 +84,8 @@
 	_ = c.from.Close()
 }
 
-// system is one entry and one agent with the configuration of a whole fleet,
-// and counters before both.
+// system is one entry and one agent with the configuration of a whole fleet. Traffic
+// to each passes through a counter.
 type system struct {
 	*burdockprograms.Fleet
 	toEntry *counter
@@ -105,8 +105,8 @@
 	return s
 }
 
-// configure puts the fleet in force, with the real processes in the place of
-// the first upstream and as the only entry.
+// configure writes the configuration of a whole fleet to the store. The real agent
+// replaces the first upstream, and the real entry is the only one.
 func (s *system) configure(b *testing.B, size Size) {
 	b.Helper()
 	f := Fleet(size)
@@ -131,12 +131,12 @@
 	s.writeAll(b, entries)
 }
 
-const writers = 4
+const writerCount = 4
 
 func (s *system) writeAll(b *testing.B, entries []burdockconfig.Entry) {
 	b.Helper()
 	var done sync.WaitGroup
-	for i := range writers {
+	for i := range writerCount {
 		done.Add(1)
 		w := entryWriter{b: b, store: burdockstore.NewHTTP([]string{s.Store.Address}), entries: entries, first: i}
 		go w.run(&done)
@@ -144,7 +144,7 @@
 	done.Wait()
 }
 
-// entryWriter writes every one in so many entries.
+// entryWriter writes every writerCount-th entry, beginning with first.
 type entryWriter struct {
 	b       *testing.B
 	store   burdockstore.Store
@@ -154,7 +154,7 @@
 
 func (w entryWriter) run(done *sync.WaitGroup) {
 	defer done.Done()
-	for i := w.first; i < len(w.entries); i += writers {
+	for i := w.first; i < len(w.entries); i += writerCount {
 		value, err := burdockconfig.Encode(w.entries[i])
 		if err == nil {
 			_, err = w.store.CompareAndSwap(context.Background(), burdockconfig.StorePrefix+w.entries[i].Key, 0, value)
@@ -166,7 +166,7 @@
 	}
 }
 
-// metric reads one metric of a process.
+// metric returns the value of one metric of a process.
 func metric(b *testing.B, admin, name string) float64 {
 	b.Helper()
 	_, body := burdockprograms.Get("http://" + admin + "/metrics")
@@ -185,19 +185,19 @@
 }
 
 const (
-	settle = 10 * time.Second
-	idle   = 30 * time.Second
+	settleTime = 10 * time.Second
+	idleTime   = 30 * time.Second
 )
 
-// BenchmarkProcesses measures real processes with the configuration of a whole
-// fleet: first idle, then with requests, then an agent that starts anew. It
-// takes a minute for each size; run it with -benchtime 1x.
+// BenchmarkProcesses measures real processes with the configuration of a whole fleet:
+// first idle, then serving requests, then while an agent restarts. It takes a minute for
+// each size; run it with -benchtime 1x.
 func BenchmarkProcesses(b *testing.B) {
 	for _, size := range Sizes {
 		b.Run(fmt.Sprint(size.Upstreams), func(b *testing.B) {
 			for range b.N {
 				s := startSystem(b, size)
-				time.Sleep(settle)
+				time.Sleep(settleTime)
 				s.measureIdle(b)
 				s.measureRequests(b)
 				s.measureRestart(b)
@@ -210,43 +210,43 @@
 	entry, agent := s.Entries[0].Admin, s.Agents[0].Admin
 	cpuEntry, cpuAgent := metric(b, entry, "process_cpu_seconds_total"), metric(b, agent, "process_cpu_seconds_total")
 	counts, bytes := s.Store.Counts(), s.toEntry.bytes.Load()
-	time.Sleep(idle)
-	b.ReportMetric(100*(metric(b, entry, "process_cpu_seconds_total")-cpuEntry)/idle.Seconds(), "entry-cpu-%")
-	b.ReportMetric(100*(metric(b, agent, "process_cpu_seconds_total")-cpuAgent)/idle.Seconds(), "agent-cpu-%")
-	b.ReportMetric(float64(s.toEntry.bytes.Load()-bytes)/idle.Seconds(), "agent-pull-B/s")
+	time.Sleep(idleTime)
+	b.ReportMetric(100*(metric(b, entry, "process_cpu_seconds_total")-cpuEntry)/idleTime.Seconds(), "entry-cpu-%")
+	b.ReportMetric(100*(metric(b, agent, "process_cpu_seconds_total")-cpuAgent)/idleTime.Seconds(), "agent-cpu-%")
+	b.ReportMetric(float64(s.toEntry.bytes.Load()-bytes)/idleTime.Seconds(), "agent-pull-B/s")
 	b.ReportMetric(metric(b, entry, "process_resident_memory_bytes")/(1<<20), "entry-MiB")
 	b.ReportMetric(metric(b, agent, "process_resident_memory_bytes")/(1<<20), "agent-MiB")
 	b.ReportMetric(metric(b, entry, "process_resident_memory_anon_bytes")/(1<<20), "entry-anon-MiB")
 	b.ReportMetric(metric(b, agent, "process_resident_memory_anon_bytes")/(1<<20), "agent-anon-MiB")
 	for name, n := range s.Store.Counts() {
-		b.Logf("store calls in %v idle: %s %d", idle, name, n-counts[name])
+		b.Logf("store calls in %v idle: %s %d", idleTime, name, n-counts[name])
 	}
 }
 
 const requests = 200
 
-// measureRequests counts what a request puts on the wire between entry and
-// agent beyond its body and its answer.
+// measureRequests measures the bytes that a request adds between entry and agent beyond
+// its own body and that of its answer.
 func (s *system) measureRequests(b *testing.B) {
 	call := burdockprograms.Chat("a deck", 10, false)
 	before := s.toAgent.bytes.Load()
-	served, whole := 0, 0
+	answered, payload := 0, 0
 	for range requests {
 		answer := s.Send(context.Background(), s.Entries[0], call)
 		if !answer.Whole() {
 			continue
 		}
-		served++
-		whole += len(call.Body) + len(answer.Body)
+		answered++
+		payload += len(call.Body) + len(answer.Body)
 	}
-	if served == 0 {
+	if answered == 0 {
 		b.Fatal("no request was served")
 	}
-	b.Logf("requests served by the one agent: %d of %d", served, requests)
-	b.ReportMetric(float64(s.toAgent.bytes.Load()-before-int64(whole))/float64(served), "request-B")
+	b.Logf("requests served by the one agent: %d of %d", answered, requests)
+	b.ReportMetric(float64(s.toAgent.bytes.Load()-before-int64(payload))/float64(answered), "request-B")
 }
 
-// measureRestart counts what an agent pulls that starts with nothing.
+// measureRestart measures what an agent without any configuration pulls when it starts.
 func (s *system) measureRestart(b *testing.B) {
 	agent := s.Agents[0]
 	agent.Kill()
--- a/internal/measure/burdockcapacitylab/serve.go
+++ b/internal/measure/burdockcapacitylab/serve.go
@@ -15,19 +15,19 @@
 	"burdockbend.example/burdockbend/internal/state/burdockhome"
 )
 
-// PoolCost is what one entry's knowledge of the upstreams of one service
-// costs.
+// PoolCost is what an entry spends on the upstreams of one service.
 type PoolCost struct {
 	Upstreams int
 	Bytes     int64
-	// Choose is one choice with its end and the load report.
+	// Choose is the time of one choice, the end of its request, and a load report.
 	Choose time.Duration
-	// SetSame and SetOther take up members: the same ones, or one fewer.
+	// SetSame is the time to apply the same members again, SetOther the time to apply
+	// members of which one was added or removed.
 	SetSame  time.Duration
 	SetOther time.Duration
 }
 
-// pool is what an entry holds for a service.
+// pool is the state that an entry keeps for a service.
 type pool struct {
 	placer  *burdockplace.Placer
 	tracker *burdockeject.Tracker
@@ -41,7 +41,7 @@
 		tracker: burdockeject.New(burdockeject.Config{}, random),
 		budget:  burdockretry.New(burdockretry.Config{}, random),
 	}
-	p.set(membersOf(n))
+	p.set(poolMembers(n))
 	return p
 }
 
@@ -54,7 +54,7 @@
 	p.placer.SetMembers(0, members)
 }
 
-func membersOf(n int) []burdockplace.Member {
+func poolMembers(n int) []burdockplace.Member {
 	members := make([]burdockplace.Member, n)
 	for i := range members {
 		members[i] = burdockplace.Member{Upstream: upstreamName(i), DataCentre: dataCentre(i), Weight: 1}
@@ -64,8 +64,8 @@
 
 // MeasurePool measures a pool of n upstreams.
 func MeasurePool(n int) PoolCost {
-	p, held := heapOf(func() pool { return newPool(n) })
-	cost := PoolCost{Upstreams: n, Bytes: held}
+	p, heapBytes := heapOf(func() pool { return newPool(n) })
+	cost := PoolCost{Upstreams: n, Bytes: heapBytes}
 	now := burdockclock.Millis(0)
 	prefix := []uint64{1, 2, 3, 4}
 	cost.Choose = processorTime(func() {
@@ -76,78 +76,78 @@
 		p.placer.Done(now, choice.Upstream, 100)
 		p.placer.Report(now, choice.Upstream, burdockplace.Report{Running: int(now % 8), Slots: 16})
 	})
-	members := membersOf(n)
+	members := poolMembers(n)
 	cost.SetSame = processorTime(func() { p.set(members) })
-	odd := 0
+	first := 0
 	cost.SetOther = processorTime(func() {
-		odd = 1 - odd
-		p.set(members[odd:])
+		first = 1 - first
+		p.set(members[first:])
 	})
 	runtime.KeepAlive(p)
 	return cost
 }
 
-// LedgerCost is what the memory of n keys costs their home.
+// LedgerCost is what an agent spends on the records of n idempotency keys.
 type LedgerCost struct {
 	Keys  int
 	Bytes int64
-	// Decide is the processor time to look at one repeated key.
+	// Decide is the processor time to decide on one repeated key.
 	Decide time.Duration
-	// Lines is the processor time to gather one slot's keys for a handover.
+	// Lines is the processor time to export one slot's keys for a handover.
 	Lines time.Duration
-	// Take is the processor time to take over a slot with as many keys again
-	// for each ten that are there, which came in the same span.
+	// Take is the processor time to import a slot with a tenth as many keys as the
+	// ledger holds. They were received within the same time as those of the ledger.
 	Take time.Duration
 }
 
 // MeasureLedger measures a ledger of n keys over all slots.
 func MeasureLedger(n int) LedgerCost {
-	l, held := heapOf(func() *burdockledger.Ledger {
+	l, heapBytes := heapOf(func() *burdockledger.Ledger {
 		l := burdockledger.New()
 		for slot := range burdockledger.Slot(burdockledger.SlotCount) {
 			l.AcquireSlot(slot, 0)
 		}
 		for i := range n {
-			l.Decide(burdockclock.Millis(i), askOf(i))
+			l.Decide(burdockclock.Millis(i), keyedRequest(i))
 		}
 		return l
 	})
-	cost := LedgerCost{Keys: n, Bytes: held}
-	repeat := askOf(0)
+	cost := LedgerCost{Keys: n, Bytes: heapBytes}
+	repeat := keyedRequest(0)
 	cost.Decide = processorTime(func() { l.Decide(1, repeat) })
 	cost.Lines = processorTime(func() { l.ExportSlot(burdockledger.SlotOf(repeat.Key)) })
-	cost.Take = measureTake(l, n)
+	cost.Take = measureImport(l, n)
 	runtime.KeepAlive(l)
 	return cost
 }
 
-const takenShare = 10
+const importDivisor = 10
 
-func measureTake(l *burdockledger.Ledger, n int) time.Duration {
-	lines := make([]burdockledger.HandoverRecord, n/takenShare)
-	for i := range lines {
-		a := askOf(n + i)
-		lines[i] = burdockledger.HandoverRecord{Key: a.Key, Request: a.Request, Fingerprint: a.Fingerprint, ReceivedAt: burdockclock.Millis(i * takenShare)}
+func measureImport(l *burdockledger.Ledger, n int) time.Duration {
+	records := make([]burdockledger.HandoverRecord, n/importDivisor)
+	for i := range records {
+		req := keyedRequest(n + i)
+		records[i] = burdockledger.HandoverRecord{Key: req.Key, Request: req.Request, Fingerprint: req.Fingerprint, ReceivedAt: burdockclock.Millis(i * importDivisor)}
 	}
-	before := used()
-	l.ImportSlot(0, 0, lines)
-	return used() - before
+	before := processCPUTime()
+	l.ImportSlot(0, 0, records)
+	return processCPUTime() - before
 }
 
-func askOf(i int) burdockledger.KeyedRequest {
+func keyedRequest(i int) burdockledger.KeyedRequest {
 	key := burdockid.IdempotencyKey(fmt.Sprintf("key-%d", i))
 	return burdockledger.KeyedRequest{Key: burdockledger.KeyOf("amplifier-lab", key), Request: burdockid.NewRequest(), Fingerprint: 1}
 }
 
-// HomesCost is what looking after the homes of a service's keys costs one
-// agent, at each of its rounds twice a second.
+// HomesCost is what an agent spends on the slot owners of its service in each of its
+// rounds, of which there are two per second.
 type HomesCost struct {
 	Members int
-	// Settled is a round in which every slot has a home that counts.
+	// Settled is the time of a round in which every slot has a valid owner.
 	Settled time.Duration
-	// Homeless is a round in which no slot has: the first start of a service.
+	// Homeless is the time of a round without any owners: the first start of a service.
 	Homeless time.Duration
-	// Rank is one slot's order of preference for one upstream.
+	// Rank is the time to compute an upstream's rank in the order that a slot prefers.
 	Rank time.Duration
 }
 
@@ -163,8 +163,8 @@
 		settled[slot] = burdockhome.VersionedOwner{Owner: burdockhome.Owner{Upstream: members[1+int(slot)%(n-1)], Incarnation: "1"}, Version: 1}
 	}
 	c := burdockhome.NewClaimer(burdockhome.Self{Service: service, Upstream: members[0], Incarnation: "1"})
-	// At instant 0 only slots that prefer this agent are claimed, so that each
-	// round looks at all of them.
+	// At time 0 the claimer claims only slots that prefer this agent, so each round
+	// checks all slots.
 	return HomesCost{
 		Members:  n,
 		Settled:  processorTime(func() { c.Claims(0, 0, settled, members) }),
