--- a/cmd/burdock-hosted/main.go
+++ b/cmd/burdock-hosted/main.go
@@ -37,7 +37,7 @@
 	defer lines.Close()
 	level := zap.NewAtomicLevelAt(burdocklog.Level(settings.LogLevel))
 	log := burdocklog.New(lines, level)
-	defer burdocklog.TakeOver(log)()
+	defer burdocklog.RedirectStdLog(log)()
 	client := burdockplatform.NewClient(settings.StoreAddress)
 	platform := burdockhosted.Platform{
 		Store: client, Records: burdockplatform.Records{}, Dialect: burdockplatform.Dialect{},
--- a/internal/base/burdocklog/writer.go
+++ b/internal/base/burdocklog/writer.go
@@ -138,13 +138,13 @@
 	))
 }
 
-// TakeOver has what libraries write by the standard library's logger go to log,
+// RedirectStdLog has what libraries write by the standard library's logger go to log,
 // as warnings. The function that is returned ends that.
 //
 // Failure: an upstream sends bytes that nobody asked for on an idle connection.
 // Symptom: net/http says so in a line of plain text on standard error, which
 // whoever reads the log as JSON loses or trips over.
-func TakeOver(log *zap.Logger) (restore func()) {
+func RedirectStdLog(log *zap.Logger) (restore func()) {
 	restore, err := zap.RedirectStdLogAt(log, zapcore.WarnLevel)
 	if err != nil {
 		log.Error("lines of libraries are not taken over", zap.Error(err))
--- a/internal/base/burdocklog/writer_test.go
+++ b/internal/base/burdocklog/writer_test.go
@@ -88,7 +88,7 @@
 func TestLinesOfLibrariesAreLogged(t *testing.T) {
 	var out buffer
 	lines := NewWriter(&out)
-	restore := TakeOver(New(lines, zap.NewAtomicLevelAt(zap.InfoLevel)))
+	restore := RedirectStdLog(New(lines, zap.NewAtomicLevelAt(zap.InfoLevel)))
 	log.Print("Unsolicited response received on idle HTTP channel")
 	restore()
 	lines.Close()
--- a/internal/external/burdockengine/group.go
+++ b/internal/external/burdockengine/group.go
@@ -8,8 +8,8 @@
 	"burdockbend.example/burdockbend/internal/group/burdockgroup"
 )
 
-// Life tells one run of an engine from the next. Each is empty when it starts.
-type Life string
+// Incarnation tells one run of an engine from the next. Each is empty when it starts.
+type Incarnation string
 
 // GroupStep is a step that an engine finished, and the map that it used.
 type GroupStep struct {
@@ -19,15 +19,15 @@
 
 // GroupSteps is what an engine finished lately, the oldest first.
 type GroupSteps struct {
-	Life  Life        `json:"life"`
-	Steps []GroupStep `json:"steps"`
+	Incarnation Incarnation `json:"life"`
+	Steps       []GroupStep `json:"steps"`
 }
 
 // GroupCounts is how many tokens an engine sent to each expert since its start,
 // by layer, and what a placement has to fit into.
 type GroupCounts struct {
-	Life   Life                 `json:"life"`
-	Tokens [][]burdockid.Tokens `json:"tokens"`
+	Incarnation Incarnation          `json:"life"`
+	Tokens      [][]burdockid.Tokens `json:"tokens"`
 	// Slots is the number of experts that the rank has memory for in each layer.
 	Slots int `json:"slots"`
 	// MaxLoads is the number of new experts of one layer that a rank can load
@@ -52,15 +52,15 @@
 	Counts(ctx context.Context) (GroupCounts, error)
 }
 
-// HeldTeller is a GroupEngine that tells what it holds.
-type HeldTeller interface {
-	// Held returns the map in use and the experts that the engine holds of it,
+// ResidentExpertsReporter is a GroupEngine that tells what it holds.
+type ResidentExpertsReporter interface {
+	// ResidentExperts returns the map in use and the experts that the engine holds of it,
 	// by layer.
-	Held(ctx context.Context) (burdockid.MapVersion, [][]burdockid.Expert, error)
+	ResidentExperts(ctx context.Context) (burdockid.MapVersion, [][]burdockid.Expert, error)
 }
 
-// SpeedTeller is a GroupEngine that tells how fast it is.
-type SpeedTeller interface {
+// SpeedReporter is a GroupEngine that tells how fast it is.
+type SpeedReporter interface {
 	// Speed returns the engine's speed as it was last known, at no call; 0 if it
 	// is not known.
 	Speed() burdockspeed.Speed
--- a/internal/external/burdockstore/http.go
+++ b/internal/external/burdockstore/http.go
@@ -71,13 +71,13 @@
 	Revision Revision `json:"revision"`
 }
 
-// Granted is the store's answer to a call for a lease.
-type Granted struct {
+// LeaseGrant is the store's answer to a call for a lease.
+type LeaseGrant struct {
 	Fence burdockid.Fence `json:"fence"`
 }
 
-// Written is the store's answer to a write.
-type Written struct {
+// WriteResult is the store's answer to a write.
+type WriteResult struct {
 	Revision Revision `json:"revision"`
 }
 
@@ -98,7 +98,7 @@
 // CompareAndSwap implements Store.
 func (s *httpStore) CompareAndSwap(ctx context.Context, key string, old Revision, value []byte) (Revision, error) {
 	req := s.request().Put("/v1/key").QueryStruct(keyQuery{Key: key, Prev: old}).Body(bytes.NewReader(value))
-	var written Written
+	var written WriteResult
 	err := s.call(ctx, callTimeout, req, &written)
 	return written.Revision, err
 }
@@ -113,7 +113,7 @@
 
 // Acquire implements Store.
 func (s *httpStore) Acquire(ctx context.Context, name, holder string, ttl burdockclock.Millis) (Lease, error) {
-	var granted Granted
+	var granted LeaseGrant
 	q := leaseQuery{Name: name, Holder: holder, TTL: int64(ttl)}
 	err := s.call(ctx, callTimeout, s.request().Post("/v1/lease").QueryStruct(q), &granted)
 	return Lease{Name: name, Holder: holder, Fence: granted.Fence, TTL: ttl}, err
@@ -121,7 +121,7 @@
 
 // Fence implements Store.
 func (s *httpStore) Fence(ctx context.Context, name string) (burdockid.Fence, error) {
-	var granted Granted
+	var granted LeaseGrant
 	err := s.call(ctx, callTimeout, s.request().Get("/v1/lease").QueryStruct(leaseQuery{Name: name}), &granted)
 	return granted.Fence, err
 }
--- a/internal/serve/burdockhosted/engine.go
+++ b/internal/serve/burdockhosted/engine.go
@@ -233,7 +233,7 @@
 func (e *engine) Steps(context.Context, burdockid.Step) (burdockengine.GroupSteps, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return burdockengine.GroupSteps{Life: burdockengine.Life(strconv.FormatInt(e.epoch, 10))}, nil
+	return burdockengine.GroupSteps{Incarnation: burdockengine.Incarnation(strconv.FormatInt(e.epoch, 10))}, nil
 }
 
 // Counts implements burdockengine.GroupEngine.
@@ -247,7 +247,7 @@
 		return burdockengine.GroupCounts{}, err
 	}
 	out := burdockengine.GroupCounts{
-		Life: burdockengine.Life(strconv.FormatInt(epoch, 10)), Slots: spec.ExpertSlots, MaxLoads: spec.MaxLoads,
+		Incarnation: burdockengine.Incarnation(strconv.FormatInt(epoch, 10)), Slots: spec.ExpertSlots, MaxLoads: spec.MaxLoads,
 		ExpertBytes: spec.ExpertBytes, StoreRate: spec.CopyRate, Speed: e.speed.current(),
 	}
 	for l := 0; l < spec.Layers && (l+1)*spec.Experts <= len(counts); l++ {
@@ -256,8 +256,8 @@
 	return out, nil
 }
 
-// Held implements burdockengine.HeldTeller.
-func (e *engine) Held(ctx context.Context) (burdockid.MapVersion, [][]burdockid.Expert, error) {
+// ResidentExperts implements burdockengine.ResidentExpertsReporter.
+func (e *engine) ResidentExperts(ctx context.Context) (burdockid.MapVersion, [][]burdockid.Expert, error) {
 	epoch, version, experts, err := e.rank.Held(ctx)
 	if err != nil {
 		return 0, nil, err
@@ -268,7 +268,7 @@
 	return mapVersion(version), experts, nil
 }
 
-// Speed implements burdockengine.SpeedTeller.
+// Speed implements burdockengine.SpeedReporter.
 func (e *engine) Speed() burdockspeed.Speed { return e.speed.current() }
 
 // mapVersion returns the version of a map in use, where the engine reports the initial
--- a/internal/serve/burdockrank/counting.go
+++ b/internal/serve/burdockrank/counting.go
@@ -106,7 +106,7 @@
 	before := p.counts[rank]
 	p.counts[rank] = counts
 	p.updateSpeedLocked(rank, counts.Speed)
-	if before.Life != counts.Life || len(before.Tokens) != len(counts.Tokens) {
+	if before.Incarnation != counts.Incarnation || len(before.Tokens) != len(counts.Tokens) {
 		return // counts since an engine's start say little about the last minute
 	}
 	for l := range counts.Tokens {
--- a/internal/serve/burdockrank/countsreport.go
+++ b/internal/serve/burdockrank/countsreport.go
@@ -29,7 +29,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	before, reported := c.counts, now
-	difference := since != 0 && since == c.reportID && before.Life == now.Life && sameShapeNotLower(before, now)
+	difference := since != 0 && since == c.reportID && before.Incarnation == now.Incarnation && sameShapeNotLower(before, now)
 	if difference {
 		reported.Tokens = addTokensSince(nil, before.Tokens, now.Tokens)
 	}
@@ -70,7 +70,7 @@
 	counts := countsFromWire(msg)
 	if msg.GetDifference() {
 		before := p.counts[rank]
-		if before.Life != counts.Life || len(before.Tokens) != len(counts.Tokens) {
+		if before.Incarnation != counts.Incarnation || len(before.Tokens) != len(counts.Tokens) {
 			p.reportIDs[rank] = 0
 			return counts, ErrMalformed.New("rank %d reported a difference from unknown counts", rank)
 		}
--- a/internal/serve/burdockrank/countsreport_test.go
+++ b/internal/serve/burdockrank/countsreport_test.go
@@ -9,8 +9,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-func countsOf(life burdockengine.Life, tokens ...burdockid.Tokens) burdockengine.GroupCounts {
-	return burdockengine.GroupCounts{Life: life, Tokens: [][]burdockid.Tokens{tokens}}
+func countsOf(life burdockengine.Incarnation, tokens ...burdockid.Tokens) burdockengine.GroupCounts {
+	return burdockengine.GroupCounts{Incarnation: life, Tokens: [][]burdockid.Tokens{tokens}}
 }
 
 // The controller ends up with the engine's own counts, whichever reports are lost and
@@ -74,7 +74,7 @@
 // and the difference after another tenth of a second.
 func TestDifferenceOfCountsIsShort(t *testing.T) {
 	const layers, experts = 10, 384
-	before, now := burdockengine.GroupCounts{Life: "a"}, burdockengine.GroupCounts{Life: "a"}
+	before, now := burdockengine.GroupCounts{Incarnation: "a"}, burdockengine.GroupCounts{Incarnation: "a"}
 	for range layers {
 		tokens, later := make([]burdockid.Tokens, experts), make([]burdockid.Tokens, experts)
 		for e := range tokens {
--- a/internal/serve/burdockrank/countsround.go
+++ b/internal/serve/burdockrank/countsround.go
@@ -94,7 +94,7 @@
 		before := p.counts[rank]
 		p.counts[rank] = counts
 		p.updateSpeedLocked(burdockid.Rank(rank), counts.Speed)
-		if before.Life == counts.Life && len(before.Tokens) == len(counts.Tokens) {
+		if before.Incarnation == counts.Incarnation && len(before.Tokens) == len(counts.Tokens) {
 			sum = addTokensSince(sum, before.Tokens, counts.Tokens)
 			p.observed[rank] = true
 		}
--- a/internal/serve/burdockrank/engine.go
+++ b/internal/serve/burdockrank/engine.go
@@ -136,7 +136,7 @@
 
 // watchState is what a watch knows of an engine.
 type watchState struct {
-	life     burdockengine.Life
+	life     burdockengine.Incarnation
 	nextStep burdockid.Step
 	lost     bool // the last poll failed
 }
@@ -151,12 +151,12 @@
 		return seen
 	}
 	seen.lost = false
-	if answer.Life != seen.life {
+	if answer.Incarnation != seen.life {
 		if seen.life != "" {
 			w.member.engine.lost()
 		}
 		// The next poll returns the new engine's steps from its first one on.
-		return watchState{life: answer.Life}
+		return watchState{life: answer.Incarnation}
 	}
 	for _, s := range answer.Steps {
 		w.member.handle(burdockgroup.StepFinished(s))
--- a/internal/serve/burdockrank/maprecovery.go
+++ b/internal/serve/burdockrank/maprecovery.go
@@ -21,11 +21,11 @@
 // residentExperts asks this agent's engine for the map in use and the experts of it that
 // are in its memory.
 func (m *member) residentExperts(ctx context.Context) (burdockid.MapVersion, [][]burdockid.Expert, error) {
-	reporter, ok := m.deps.Engine.(burdockengine.HeldTeller)
+	reporter, ok := m.deps.Engine.(burdockengine.ResidentExpertsReporter)
 	if !ok {
 		return 0, nil, errorx.UnsupportedOperation.New("the engine does not tell what it holds")
 	}
-	return reporter.Held(ctx)
+	return reporter.ResidentExperts(ctx)
 }
 
 // recoverMap asks all ranks for their experts when this agent doesn't know the content of
@@ -41,7 +41,7 @@
 	if state.Phase != burdockgroup.ControllerResting || version == 0 || state.Goal.Map != 0 || m.content(version) != nil {
 		return
 	}
-	if _, ok := m.deps.Engine.(burdockengine.HeldTeller); !ok {
+	if _, ok := m.deps.Engine.(burdockengine.ResidentExpertsReporter); !ok {
 		return
 	}
 	p.mu.Lock()
--- a/internal/serve/burdockrank/size_test.go
+++ b/internal/serve/burdockrank/size_test.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		t.Fatalf("encode the map: %v", err)
 	}
-	counts := burdockengine.GroupCounts{Life: burdockengine.Life(burdockid.NewIncarnation()), Slots: slots, ExpertBytes: 44_000_000, StoreRate: 1_000_000_000}
+	counts := burdockengine.GroupCounts{Incarnation: burdockengine.Incarnation(burdockid.NewIncarnation()), Slots: slots, ExpertBytes: 44_000_000, StoreRate: 1_000_000_000}
 	for range layers {
 		tokens := make([]burdockid.Tokens, experts)
 		for e := range tokens {
--- a/internal/serve/burdockrank/speeds.go
+++ b/internal/serve/burdockrank/speeds.go
@@ -37,7 +37,7 @@
 
 // engineSpeed returns the speed of this agent's engine, or 0 if it isn't known.
 func (m *member) engineSpeed() burdockspeed.Speed {
-	if reporter, ok := m.deps.Engine.(burdockengine.SpeedTeller); ok {
+	if reporter, ok := m.deps.Engine.(burdockengine.SpeedReporter); ok {
 		return reporter.Speed()
 	}
 	return 0
--- a/internal/serve/burdockrank/wire.go
+++ b/internal/serve/burdockrank/wire.go
@@ -181,7 +181,7 @@
 
 func countsToWire(c burdockengine.GroupCounts) *burdockwire.GroupCountsResponse {
 	msg := &burdockwire.GroupCountsResponse{
-		Life:        string(c.Life),
+		Life:        string(c.Incarnation),
 		Slots:       int32(c.Slots),
 		ExpertBytes: int64(c.ExpertBytes),
 		StoreRate:   int64(c.StoreRate),
@@ -200,7 +200,7 @@
 
 func countsFromWire(msg *burdockwire.GroupCountsResponse) burdockengine.GroupCounts {
 	c := burdockengine.GroupCounts{
-		Life:        burdockengine.Life(msg.GetLife()),
+		Incarnation: burdockengine.Incarnation(msg.GetLife()),
 		Slots:       int(msg.GetSlots()),
 		ExpertBytes: burdockid.Bytes(msg.GetExpertBytes()),
 		StoreRate:   burdockid.BytesPerSecond(msg.GetStoreRate()),
--- a/internal/serve/burdockrank/wire_test.go
+++ b/internal/serve/burdockrank/wire_test.go
@@ -62,7 +62,7 @@
 // for one map, a controller that doesn't know it plans three, and a rank refuses the map.
 func TestCountsPassTheWireUnchanged(t *testing.T) {
 	want := burdockengine.GroupCounts{
-		Life: "run", Tokens: [][]burdockid.Tokens{{1, 2}, {3, 4}}, Slots: 5, MaxLoads: 2,
+		Incarnation: "run", Tokens: [][]burdockid.Tokens{{1, 2}, {3, 4}}, Slots: 5, MaxLoads: 2,
 		ExpertBytes: 6, StoreRate: 7, Speed: 0.5,
 	}
 	if got := countsFromWire(countsToWire(want)); !reflect.DeepEqual(got, want) {
--- a/internal/standin/burdockfakeengine/lockstep.go
+++ b/internal/standin/burdockfakeengine/lockstep.go
@@ -23,9 +23,9 @@
 // Turn is what an engine of a group tells the Lockstep: who it is, and the step
 // that it has finished, if any.
 type Turn struct {
-	Rank     burdockid.Rank           `json:"rank"`
-	Life     burdockengine.Life       `json:"life"`
-	Finished *burdockengine.GroupStep `json:"finished,omitempty"`
+	Rank     burdockid.Rank            `json:"rank"`
+	Life     burdockengine.Incarnation `json:"life"`
+	Finished *burdockengine.GroupStep  `json:"finished,omitempty"`
 }
 
 // TurnAnswer says whether an engine may begin its next step.
@@ -56,7 +56,7 @@
 
 	mu      sync.Mutex
 	changed chan struct{} // closed and replaced when a step is finished
-	lives   []burdockengine.Life
+	lives   []burdockengine.Incarnation
 	done    []burdockid.Step // lowest step that each rank has not finished
 	log     LockstepLog
 }
@@ -66,7 +66,7 @@
 	l := &Lockstep{
 		mux:     http.NewServeMux(),
 		changed: make(chan struct{}),
-		lives:   make([]burdockengine.Life, ranks),
+		lives:   make([]burdockengine.Incarnation, ranks),
 		done:    make([]burdockid.Step, ranks),
 		log:     LockstepLog{Ranks: make([][]StepRun, ranks)},
 	}
--- a/internal/standin/burdockfakeengine/lockstepio.go
+++ b/internal/standin/burdockfakeengine/lockstepio.go
@@ -22,10 +22,10 @@
 	client *http.Client
 	base   string
 	rank   burdockid.Rank
-	life   burdockengine.Life
+	life   burdockengine.Incarnation
 }
 
-func newLockstepLink(address string, rank burdockid.Rank, life burdockengine.Life) *lockstepLink {
+func newLockstepLink(address string, rank burdockid.Rank, life burdockengine.Incarnation) *lockstepLink {
 	return &lockstepLink{client: &http.Client{Timeout: linkTimeout}, base: "http://" + address, rank: rank, life: life}
 }
 
--- a/internal/standin/burdockfakeengine/rank.go
+++ b/internal/standin/burdockfakeengine/rank.go
@@ -47,7 +47,7 @@
 // burdockgroup.EngineOrder states.
 type rankEngine struct {
 	cfg  RankConfig
-	life burdockengine.Life
+	life burdockengine.Incarnation
 	link *lockstepLink
 
 	mu      sync.Mutex
@@ -59,7 +59,7 @@
 }
 
 func newRankEngine(cfg RankConfig) *rankEngine {
-	life := burdockengine.Life(burdockid.NewIncarnation())
+	life := burdockengine.Incarnation(burdockid.NewIncarnation())
 	e := &rankEngine{
 		cfg:     cfg,
 		life:    life,
@@ -220,7 +220,7 @@
 	i, _ := slices.BinarySearchFunc(e.steps, burdockid.Step(from), func(s burdockengine.GroupStep, from burdockid.Step) int {
 		return int(int64(s.Step) - int64(from))
 	})
-	steps := burdockengine.GroupSteps{Life: e.life, Steps: slices.Clone(e.steps[i:])}
+	steps := burdockengine.GroupSteps{Incarnation: e.life, Steps: slices.Clone(e.steps[i:])}
 	e.mu.Unlock()
 	writeJSON(w, steps)
 }
@@ -228,7 +228,7 @@
 func (e *rankEngine) serveCounts(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	counts := burdockengine.GroupCounts{
-		Life:        e.life,
+		Incarnation: e.life,
 		Tokens:      e.traffic.copied(),
 		Slots:       e.cfg.Slots,
 		ExpertBytes: standinExpertBytes,
--- a/internal/standin/burdockfakestore/store.go
+++ b/internal/standin/burdockfakestore/store.go
@@ -91,7 +91,7 @@
 		http.Error(w, "revision is "+strconv.FormatUint(uint64(revision), 10), http.StatusConflict)
 		return
 	}
-	reply(w, burdockstore.Written{Revision: revision})
+	reply(w, burdockstore.WriteResult{Revision: revision})
 }
 
 // swap writes value if key stands at prev, and returns the key's revision.
@@ -163,7 +163,7 @@
 		http.Error(w, "held by another", http.StatusConflict)
 		return
 	}
-	reply(w, burdockstore.Granted{Fence: fence})
+	reply(w, burdockstore.LeaseGrant{Fence: fence})
 }
 
 func (s *Server) grant(name, holder string, ttl burdockclock.Millis) (burdockid.Fence, bool) {
@@ -189,7 +189,7 @@
 	s.mu.Lock()
 	fence := s.leases[r.URL.Query().Get("name")].fence
 	s.mu.Unlock()
-	reply(w, burdockstore.Granted{Fence: fence})
+	reply(w, burdockstore.LeaseGrant{Fence: fence})
 }
 
 func (s *Server) release(w http.ResponseWriter, r *http.Request) {
