--- a/internal/group/burdockgroup/fault_test.go
+++ b/internal/group/burdockgroup/fault_test.go
@@ -292,7 +292,7 @@
 				w.OrderEngine(o.To, burdockgroup.UseFrom{Map: s.Spare, Step: s.HoldAt})
 			}}}
 		cfg := trialConfig(1)
-		cfg.EngineRash = ignoresSwitch
+		cfg.EngineResumesAnySwitch = ignoresSwitch
 		w := newScriptedGroup(t, cfg, nil, killed, late)
 		if w.change() || !late.done {
 			t.Fatalf("engine ignores switch %v: the late commit had no effect", ignoresSwitch)
--- a/internal/group/burdockgroup/schedule_test.go
+++ b/internal/group/burdockgroup/schedule_test.go
@@ -21,18 +21,18 @@
 // trialConfig returns a small group with short steps and quick loads.
 func trialConfig(seed uint64) burdockgrouplab.Config {
 	return burdockgrouplab.Config{
-		Ranks:       2 + int(seed%3),
-		Controllers: 2,
-		Seed:        seed,
-		StepMicros:  4500,
-		DelayMicros: 300,
-		TailMicros:  700,
-		LoadMicros:  10_000,
-		EngineCheck: seed%2 == 0,
-		EngineLate:  seed%4 < 2,
-		Lead:        2,
-		MaxLead:     64,
-		LoadPoll:    20,
+		Ranks:            2 + int(seed%3),
+		Controllers:      2,
+		Seed:             seed,
+		StepMicros:       4500,
+		DelayMicros:      300,
+		TailMicros:       700,
+		LoadMicros:       10_000,
+		EngineCheck:      seed%2 == 0,
+		EngineOrdersLate: seed%4 < 2,
+		Lead:             2,
+		MaxLead:          64,
+		LoadPoll:         20,
 	}
 }
 
@@ -42,7 +42,7 @@
 	cfg.Ranks = 1 + int(seed%6)
 	cfg.Controllers = 1 + int(seed/7%3)
 	cfg.EngineCheck = seed/2%2 == 0
-	cfg.EngineLate = seed%2 == 0
+	cfg.EngineOrdersLate = seed%2 == 0
 	cfg.Lead = 1
 	if seed%5 == 0 {
 		cfg.TailMicros = 5000
--- a/internal/group/burdockgroup/variant_test.go
+++ b/internal/group/burdockgroup/variant_test.go
@@ -10,7 +10,7 @@
 	"burdockbend.example/burdockbend/internal/measure/burdockgrouplab"
 )
 
-func withoutHold(cfg *burdockgrouplab.Config) { cfg.EngineDeaf = true }
+func withoutHold(cfg *burdockgrouplab.Config) { cfg.EngineIgnoresHold = true }
 
 // withoutCommitRound makes every rank but the first report a commit before it happens and
 // commit only when it is released: a protocol with a single "go".
--- a/internal/measure/burdockcapacitylab/command.go
+++ b/internal/measure/burdockcapacitylab/command.go
@@ -55,7 +55,7 @@
 			return err
 		}
 		fmt.Fprintf(table, "%d\t%d\t%d\t%d\t%s\t%s\t%s\t%d\t%s\t%d\t%s\t%d\t%d\t\n",
-			size.Upstreams, size.Customers, c.Keys, c.Bytes>>10, micros(c.Merge), micros(c.MergeHome),
+			size.Upstreams, size.Customers, c.Keys, c.Bytes>>10, micros(c.Merge), micros(c.MergeOwner),
 			micros(c.SyncEqual.Time), c.SyncEqual.Bytes, micros(c.SyncOne.Time), c.SyncOne.Bytes,
 			micros(c.SyncBuckets.Time), c.SyncBuckets.Bytes, c.Listing)
 	}
@@ -83,8 +83,8 @@
 func printOwners(w io.Writer) error {
 	table := newTable(w, "One agent's round over the homes of its service", "members\tsettled µs\tno homes µs\tone rank µs\t")
 	for _, n := range []int{16, 67, 633, 3800} {
-		c := MeasureHomes(n)
-		fmt.Fprintf(table, "%d\t%s\t%s\t%s\t\n", n, micros(c.Settled), micros(c.Homeless), micros(c.Rank))
+		c := MeasureOwners(n)
+		fmt.Fprintf(table, "%d\t%s\t%s\t%s\t\n", n, micros(c.Settled), micros(c.Unowned), micros(c.Rank))
 	}
 	return table.Flush()
 }
--- a/internal/measure/burdockcapacitylab/config.go
+++ b/internal/measure/burdockcapacitylab/config.go
@@ -23,10 +23,10 @@
 	Size  Size
 	Keys  int
 	Bytes int64 // heap size of the view and the fleet
-	// Merge is the processor time to apply one changed upstream, MergeHome the time to
+	// Merge is the processor time to apply one changed upstream, MergeOwner the time to
 	// apply one changed owner of a slot.
-	Merge     time.Duration
-	MergeHome time.Duration
+	Merge      time.Duration
+	MergeOwner time.Duration
 	// Three answers to a pull: without a difference, with one change, and by buckets
 	// for a process without any configuration. Times exclude the transport.
 	SyncEqual   Answer
@@ -57,7 +57,7 @@
 	if cost.Listing, err = listingSize(entries); err != nil {
 		return ConfigCost{}, err
 	}
-	cost.MergeHome = mergeOwner(s, entries[len(entries)-1])
+	cost.MergeOwner = mergeOwner(s, entries[len(entries)-1])
 	err = cost.measureSync(s, size)
 	runtime.KeepAlive(s)
 	return cost, err
--- a/internal/measure/burdockcapacitylab/serve.go
+++ b/internal/measure/burdockcapacitylab/serve.go
@@ -139,20 +139,20 @@
 	return burdockledger.KeyedRequest{Key: burdockledger.KeyOf("amplifier-lab", key), Request: burdockid.NewRequest(), Fingerprint: 1}
 }
 
-// HomesCost is what an agent spends on the slot owners of its service in each of its
+// OwnersCost is what an agent spends on the slot owners of its service in each of its
 // rounds, of which there are two per second.
-type HomesCost struct {
+type OwnersCost struct {
 	Members int
 	// Settled is the time of a round in which every slot has a valid owner.
 	Settled time.Duration
-	// Homeless is the time of a round without any owners: the first start of a service.
-	Homeless time.Duration
+	// Unowned is the time of a round without any owners: the first start of a service.
+	Unowned time.Duration
 	// Rank is the time to compute an upstream's rank in the order that a slot prefers.
 	Rank time.Duration
 }
 
-// MeasureHomes measures an agent of a service of n upstreams.
-func MeasureHomes(n int) HomesCost {
+// MeasureOwners measures an agent of a service of n upstreams.
+func MeasureOwners(n int) OwnersCost {
 	service := serviceName(0)
 	members := make([]burdockid.Upstream, n)
 	for i := range members {
@@ -165,10 +165,10 @@
 	c := burdockhome.NewClaimer(burdockhome.Self{Service: service, Upstream: members[0], Incarnation: "1"})
 	// At time 0 the claimer claims only slots that prefer this agent, so each round
 	// checks all slots.
-	return HomesCost{
-		Members:  n,
-		Settled:  processorTime(func() { c.Claims(0, 0, settled, members) }),
-		Homeless: processorTime(func() { c.Claims(0, 0, burdockhome.Owners{}, members) }),
-		Rank:     processorTime(func() { burdockhome.Rank(service, 7, members, members[0]) }),
+	return OwnersCost{
+		Members: n,
+		Settled: processorTime(func() { c.Claims(0, 0, settled, members) }),
+		Unowned: processorTime(func() { c.Claims(0, 0, burdockhome.Owners{}, members) }),
+		Rank:    processorTime(func() { burdockhome.Rank(service, 7, members, members[0]) }),
 	}
 }
--- a/internal/measure/burdockgrouplab/site.go
+++ b/internal/measure/burdockgrouplab/site.go
@@ -70,7 +70,7 @@
 // arrive in sequence; those of a replaced agent may arrive after its successor's.
 func (w *World) engineDelay(s *site) instant {
 	arrives := w.now + engineLatency
-	if w.cfg.EngineLate && w.rng.Float64() < w.faults.late {
+	if w.cfg.EngineOrdersLate && w.rng.Float64() < w.faults.late {
 		arrives += instant(w.rng.Int64N(int64(leaseTTL)))
 	}
 	s.lastOrderAt = max(s.lastOrderAt, arrives)
--- a/internal/measure/burdockgrouplab/world.go
+++ b/internal/measure/burdockgrouplab/world.go
@@ -15,21 +15,21 @@
 
 // Config is the configuration of a World.
 type Config struct {
-	Ranks       int
-	Controllers int
-	Seed        uint64
-	StepMicros  int64 // time of a step; may be up to a tenth longer
-	DelayMicros int64 // minimum delay of a message
-	TailMicros  int64 // mean of the additional, exponentially distributed delay
-	LoadMicros  int64 // minimum time to load a map; up to twice as long
-	EngineCheck bool  // engines refuse old fencing numbers
-	EngineLate  bool  // orders to an engine may outlive the agent that sent them
-	EngineRash  bool  // engines resume even if held for another switch
-	EngineDeaf  bool  // engines report a hold as kept, but ignore it
-	Lead        burdockid.Step
-	MaxLead     burdockid.Step
-	LoadPoll    burdockclock.Millis
-	Hooks       Hooks
+	Ranks                  int
+	Controllers            int
+	Seed                   uint64
+	StepMicros             int64 // time of a step; may be up to a tenth longer
+	DelayMicros            int64 // minimum delay of a message
+	TailMicros             int64 // mean of the additional, exponentially distributed delay
+	LoadMicros             int64 // minimum time to load a map; up to twice as long
+	EngineCheck            bool  // engines refuse old fencing numbers
+	EngineOrdersLate       bool  // orders to an engine may arrive after their agent was replaced
+	EngineResumesAnySwitch bool  // engines resume even if held for another switch
+	EngineIgnoresHold      bool  // engines report a hold as kept, but ignore it
+	Lead                   burdockid.Step
+	MaxLead                burdockid.Step
+	LoadPoll               burdockclock.Millis
+	Hooks                  Hooks
 }
 
 // Hooks let a test change the messages between the parts. The test thereby shows that
@@ -103,7 +103,7 @@
 		contents: map[burdockid.MapVersion][]byte{},
 	}
 	for i := range cfg.Ranks {
-		s := &site{rank: burdockid.Rank(i), engine: &engine{checksFence: cfg.EngineCheck, ignoresHold: cfg.EngineDeaf, resumesAny: cfg.EngineRash}}
+		s := &site{rank: burdockid.Rank(i), engine: &engine{checksFence: cfg.EngineCheck, ignoresHold: cfg.EngineIgnoresHold, resumesAny: cfg.EngineResumesAnySwitch}}
 		w.sites = append(w.sites, s)
 	}
 	for _, s := range w.sites {
