--- a/internal/external/burdockengine/engine.go
+++ b/internal/external/burdockengine/engine.go
@@ -1,5 +1,5 @@
-// Package burdockengine is the agent's view of its upstream: a model engine or
-// a plain service on the same VM, reached over HTTP.
+// Package burdockengine is the agent's HTTP client for its upstream: a model engine or a
+// plain service on the same VM.
 package burdockengine
 
 import (
@@ -10,33 +10,34 @@
 	"github.com/joomcode/errorx"
 )
 
-// Call is one request to hand to the upstream.
+// Call is one request to send to the upstream.
 type Call struct {
 	Method string
 	Path   string
 	Query  string
 	Header http.Header
 	Body   []byte
-	// BeforeSend, when set, is called once, right before the first byte may be
-	// written. Until then the upstream knows nothing of the call.
+	// BeforeSend, if not nil, is called once, right before the first byte may be
+	// written. Until then the upstream has received nothing of the call.
 	BeforeSend func()
 }
 
-// Answer is what the upstream sends back. The body must be closed.
+// Answer is the upstream's response. The caller must close Body.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
-	// Framed says that an end of the body is known to be its whole.
+	// Framed reports whether the end of Body can be told from a broken connection: the
+	// response has a length or is chunked.
 	Framed bool
 }
 
-// Engine runs calls on the upstream.
+// Engine sends calls to the upstream.
 type Engine interface {
-	// Do hands the call over, once. An ErrNotSent says that no byte of it was
-	// written; any other error leaves open whether the upstream ran it.
+	// Do sends the call at most once. After an ErrNotSent no byte of it was written;
+	// after any other error it is unknown whether the upstream ran it.
 	Do(ctx context.Context, call Call) (Answer, error)
-	// Check returns nil when a connection to the upstream can be made.
+	// Check returns nil if a connection to the upstream can be opened.
 	Check(ctx context.Context) error
 }
 
@@ -44,8 +45,8 @@
 var Errors = errorx.NewNamespace("engine")
 
 var (
-	// ErrNotSent says that the upstream never saw the call.
+	// ErrNotSent reports that the upstream received nothing of the call.
 	ErrNotSent = Errors.NewType("notSent")
-	// ErrBroken says that the connection broke after the call was begun.
+	// ErrBroken reports that no usable answer came to a call that may have been sent.
 	ErrBroken = Errors.NewType("broken")
 )
--- a/internal/external/burdockengine/group.go
+++ b/internal/external/burdockengine/group.go
@@ -8,64 +8,63 @@
 	"burdockbend.example/burdockbend/internal/group/burdockgroup"
 )
 
-// Incarnation tells one run of an engine from the next. Each is empty when it starts.
+// Incarnation identifies one run of an engine. An engine is empty when it starts.
 type Incarnation string
 
-// GroupStep is a step that an engine finished, and the map that it used.
+// GroupStep is a step that an engine has finished, and the map that it used for it.
 type GroupStep struct {
 	Step burdockid.Step       `json:"step"`
 	Map  burdockid.MapVersion `json:"map"`
 }
 
-// GroupSteps is what an engine finished lately, the oldest first.
+// GroupSteps holds the steps that an engine finished recently, oldest first.
 type GroupSteps struct {
 	Incarnation Incarnation `json:"life"`
 	Steps       []GroupStep `json:"steps"`
 }
 
-// GroupCounts is how many tokens an engine sent to each expert since its start,
-// by layer, and what a placement has to fit into.
+// GroupCounts holds the number of tokens that an engine has sent to each expert since it
+// started, by layer, and the limits that a placement has to respect.
 type GroupCounts struct {
 	Incarnation Incarnation          `json:"life"`
 	Tokens      [][]burdockid.Tokens `json:"tokens"`
-	// Slots is the number of experts that the rank has memory for in each layer.
+	// Slots is the number of experts per layer that the rank has memory for.
 	Slots int `json:"slots"`
-	// MaxLoads is the number of new experts of one layer that a rank can load
-	// for one map; 0 is no bound.
+	// MaxLoads is the maximum number of new experts per layer that the rank can load for
+	// one map; 0 means no limit.
 	MaxLoads    int                      `json:"maxLoads,omitempty"`
 	ExpertBytes burdockid.Bytes          `json:"expertBytes"`
 	StoreRate   burdockid.BytesPerSecond `json:"storeRate"`
-	// Speed is the engine's, as it was known when it counted; 0 if it is not.
+	// Speed is the engine's speed when it reported the counts; 0 means unknown.
 	Speed burdockspeed.Speed `json:"speed,omitempty"`
 }
 
 // GroupEngine is the engine of one rank of a lock-stepped group. Its agent
-// gives it one order at a time.
+// sends it one order at a time.
 type GroupEngine interface {
-	// Order carries out one order and returns the status after it. An engine
-	// that checks fencing numbers answers a lower one than it has seen with an
-	// ErrOldFence, but for ReadStatus.
+	// Order executes one order and returns the status after it. An engine that checks
+	// fencing tokens rejects an order other than ReadStatus with an ErrOldFence if it has
+	// seen a higher token.
 	Order(ctx context.Context, fence burdockid.Fence, order burdockgroup.EngineOrder) (burdockgroup.EngineStatus, error)
-	// Steps returns the finished steps from one on that the engine remembers.
+	// Steps returns those finished steps, beginning with from, that the engine remembers.
 	Steps(ctx context.Context, from burdockid.Step) (GroupSteps, error)
-	// Counts returns the popularity of the experts.
+	// Counts returns the tokens per expert and the limits of a placement.
 	Counts(ctx context.Context) (GroupCounts, error)
 }
 
-// ResidentExpertsReporter is a GroupEngine that tells what it holds.
+// ResidentExpertsReporter is a GroupEngine that can report its resident experts.
 type ResidentExpertsReporter interface {
-	// ResidentExperts returns the map in use and the experts that the engine holds of it,
-	// by layer.
+	// ResidentExperts returns the map in use and, by layer, the experts of it that are in
+	// the engine's memory.
 	ResidentExperts(ctx context.Context) (burdockid.MapVersion, [][]burdockid.Expert, error)
 }
 
-// SpeedReporter is a GroupEngine that tells how fast it is.
+// SpeedReporter is a GroupEngine that can report its speed.
 type SpeedReporter interface {
-	// Speed returns the engine's speed as it was last known, at no call; 0 if it
-	// is not known.
+	// Speed returns the last known speed without a call to the engine; 0 means unknown.
 	Speed() burdockspeed.Speed
 }
 
-// ErrOldFence says that the engine has seen a higher fencing number and did not
-// carry out the order.
+// ErrOldFence reports that the engine has seen a higher fencing token and did not execute
+// the order.
 var ErrOldFence = Errors.NewType("oldFence")
--- a/internal/external/burdockengine/grouphttp.go
+++ b/internal/external/burdockengine/grouphttp.go
@@ -14,7 +14,7 @@
 	"github.com/dghubble/sling"
 )
 
-// Paths of the group's interface of an engine.
+// Paths of the HTTP interface of an engine in a lock-stepped group.
 const (
 	GroupOrderPath  = "/group/order"
 	GroupStepsPath  = "/group/steps"
@@ -22,15 +22,15 @@
 )
 
 const (
-	// groupTimeout bounds one call to an engine on the same VM. The engine
-	// answers before a load has ended, so it has nothing to wait for.
+	// groupTimeout bounds one call to an engine on the same VM. The engine answers before
+	// a load of experts has finished, so no call waits for one.
 	groupTimeout = 2 * time.Second
-	// maxGroupBytes covers the counts of the largest group in JSON.
+	// maxGroupBytes bounds an answer. It covers the JSON counts of the largest group.
 	maxGroupBytes = 16 << 20
 )
 
-// GroupOrder is an order to an engine as it is sent. One of the pointers is
-// set; none asks for the status.
+// GroupOrder is the JSON form of an order to an engine. One of the pointers is set; none
+// stands for a ReadStatus.
 type GroupOrder struct {
 	Fence      burdockid.Fence          `json:"fence"`
 	LoadMap    *burdockgroup.LoadMap    `json:"loadMap,omitempty"`
@@ -41,7 +41,7 @@
 	BeginWith  *burdockgroup.BeginWith  `json:"beginWith,omitempty"`
 }
 
-// NewGroupOrder returns an order as it is sent.
+// NewGroupOrder returns the JSON form of an order.
 func NewGroupOrder(fence burdockid.Fence, order burdockgroup.EngineOrder) GroupOrder {
 	g := GroupOrder{Fence: fence}
 	switch o := order.(type) {
@@ -61,7 +61,7 @@
 	return g
 }
 
-// Order returns the order that was sent.
+// Order returns the order that g is the JSON form of.
 func (g GroupOrder) Order() burdockgroup.EngineOrder {
 	switch {
 	case g.LoadMap != nil:
@@ -84,15 +84,15 @@
 	From burdockid.Step `url:"from"`
 }
 
-// groupHTTP speaks to the group's interface of an engine.
+// groupHTTP is the HTTP client of an engine in a lock-stepped group.
 type groupHTTP struct {
 	client *http.Client
 	base   string
 }
 
-// NewGroupHTTP returns the GroupEngine at address, an IP and port. No call is
-// sent a second time: an order that arrives after a later one is what the
-// conditions on orders are there for, not what the agent should bring about.
+// NewGroupHTTP returns the GroupEngine at address, an IP and port. No call is sent a second
+// time. The conditions on orders protect against an order that arrives after a later one,
+// but a resend must not cause that itself.
 func NewGroupHTTP(address string) GroupEngine {
 	return &groupHTTP{
 		base: "http://" + address,
@@ -148,7 +148,7 @@
 	switch status {
 	case http.StatusOK:
 		if err := json.Unmarshal(body, out); err != nil {
-			return ErrBroken.Wrap(err, "answer to %s", path)
+			return ErrBroken.Wrap(err, "decode answer to %s", path)
 		}
 		return nil
 	case http.StatusConflict:
--- a/internal/external/burdockengine/http.go
+++ b/internal/external/burdockengine/http.go
@@ -15,12 +15,12 @@
 const (
 	dialTimeout = time.Second
 	idleTimeout = 30 * time.Second
-	// maxIdle covers the slots of one engine, so that a burst that ends doesn't
-	// close connections that the next one opens again.
-	maxIdle = 128
+	// maxIdleConns covers the slots of one engine. With fewer, the end of a burst closes
+	// connections that the next burst has to open again.
+	maxIdleConns = 128
 )
 
-// httpEngine speaks to an upstream at one address.
+// httpEngine is the HTTP client of the upstream at one address.
 type httpEngine struct {
 	transport http.RoundTripper
 	address   string
@@ -34,7 +34,7 @@
 		base:    "http://" + address,
 		transport: burdocktransport.NewOnce(&http.Transport{
 			DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
-			MaxIdleConnsPerHost: maxIdle,
+			MaxIdleConnsPerHost: maxIdleConns,
 			IdleConnTimeout:     idleTimeout,
 			DisableCompression:  true, // bodies pass through unchanged
 		}),
@@ -43,9 +43,9 @@
 
 // Do implements Engine.
 func (e *httpEngine) Do(ctx context.Context, call Call) (Answer, error) {
-	var begun atomic.Bool
+	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) {
-		if !begun.Swap(true) && call.BeforeSend != nil {
+		if !connected.Swap(true) && call.BeforeSend != nil {
 			call.BeforeSend()
 		}
 	}}
@@ -57,7 +57,7 @@
 		req.Header = call.Header
 	}
 	res, err := e.transport.RoundTrip(req)
-	if err != nil && !begun.Load() {
+	if err != nil && !connected.Load() {
 		return Answer{}, ErrNotSent.Wrap(err, "no connection to %s", e.base)
 	}
 	if err != nil {
@@ -82,8 +82,8 @@
 	return e.base + call.Path + "?" + call.Query
 }
 
-// framed reports whether the answer says where it ends. Without a length or
-// chunks a broken connection looks like the end.
+// framed reports whether the response has a length or is chunked. Otherwise a broken
+// connection looks like the end of the body.
 func framed(res *http.Response) bool {
 	return res.ContentLength >= 0 || len(res.TransferEncoding) > 0
 }
--- a/internal/external/burdockengine/http_test.go
+++ b/internal/external/burdockengine/http_test.go
@@ -13,8 +13,8 @@
 	"github.com/joomcode/errorx"
 )
 
-// cutServer answers the first request on each connection and, on the second,
-// reads it whole (so it counts as run) and cuts the connection.
+// cutServer answers the first request on each connection. It reads the second one
+// completely, which counts as a run, and closes the connection without an answer.
 type cutServer struct {
 	listener net.Listener
 	runs     atomic.Int64
@@ -28,21 +28,21 @@
 	}
 	s := &cutServer{listener: listener}
 	t.Cleanup(func() { _ = listener.Close() })
-	go s.run()
+	go s.accept()
 	return s
 }
 
-func (s *cutServer) run() {
+func (s *cutServer) accept() {
 	for {
 		conn, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
-		go s.loop(conn)
+		go s.serve(conn)
 	}
 }
 
-func (s *cutServer) loop(conn net.Conn) {
+func (s *cutServer) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	r := bufio.NewReader(conn)
 	for n := 1; ; n++ {
@@ -64,10 +64,10 @@
 
 func (discard) Write(b []byte) (int, error) { return len(b), nil }
 
-// The caller sees an error, and the upstream has run the request once.
-// A first call leaves a kept-alive connection; the upstream runs the second
-// call on it and then cuts it without an answer. net/http by itself would send
-// such a call again on a new connection, unseen, so it would run twice.
+// The upstream runs a call on a kept-alive connection and then closes the connection
+// without an answer. By default net/http silently sends such a call again on a new
+// connection, so that it runs twice. The caller must get an error instead, and the
+// upstream must have run the call once.
 func TestCallIsNeverSentTwice(t *testing.T) {
 	calls := map[string]Call{
 		"get":              {Method: http.MethodGet, Path: "/card"},
@@ -96,8 +96,8 @@
 	}
 }
 
-// The same calls sent as net/http would by default: the upstream runs three.
-// This shows that the test above can fail.
+// With net/http's default transport, two calls run three times. This shows that
+// TestCallIsNeverSentTwice can fail.
 func TestDefaultTransportSendsTwice(t *testing.T) {
 	s := newCutServer(t)
 	client := &http.Client{Transport: &http.Transport{}}
