--- a/internal/external/burdocklist/http.go
+++ b/internal/external/burdocklist/http.go
@@ -12,7 +12,7 @@
 
 const callTimeout = 3 * time.Second
 
-// httpList reads the list from the platform's HTTP interface.
+// httpList is the HTTP client of the membership list.
 type httpList struct {
 	client *http.Client
 	base   *sling.Sling
@@ -27,19 +27,19 @@
 func (l *httpList) VMs(ctx context.Context) ([]VM, error) {
 	req, err := l.base.New().Get("/v1/vms").Request()
 	if err != nil {
-		return nil, errorx.Decorate(err, "membership list")
+		return nil, errorx.Decorate(err, "read membership list")
 	}
 	res, err := l.client.Do(req.WithContext(ctx))
 	if err != nil {
-		return nil, errorx.Decorate(err, "membership list")
+		return nil, errorx.Decorate(err, "read membership list")
 	}
 	defer func() { _ = res.Body.Close() }()
 	if res.StatusCode != http.StatusOK {
-		return nil, errorx.ExternalError.New("membership list: status %d", res.StatusCode)
+		return nil, errorx.ExternalError.New("read membership list: status %d", res.StatusCode)
 	}
 	var vms []VM
 	if err := json.NewDecoder(res.Body).Decode(&vms); err != nil {
-		return nil, errorx.Decorate(err, "membership list")
+		return nil, errorx.Decorate(err, "read membership list")
 	}
 	return vms, nil
 }
--- a/internal/external/burdocklist/list.go
+++ b/internal/external/burdocklist/list.go
@@ -1,5 +1,5 @@
-// Package burdocklist is the system's view of the platform's membership list:
-// which VMs live and which are leaving. It lags behind.
+// Package burdocklist is the client of the platform's membership list, which states which
+// VMs are live and which are leaving. The list lags behind the actual state.
 package burdocklist
 
 import (
@@ -8,17 +8,17 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// State is what the platform says of a VM.
+// State is the state of a VM according to the platform.
 type State string
 
 // States of a VM.
 const (
 	Live    State = "live"
 	Leaving State = "leaving"
-	Gone    State = "gone" // destroyed; no process of it can run any more
+	Gone    State = "gone" // destroyed; none of its processes can still run
 )
 
-// VM is one line of the list.
+// VM is one entry of the list.
 type VM struct {
 	Name  burdockid.VM `json:"name"`
 	State State        `json:"state"`
@@ -26,6 +26,6 @@
 
 // List is the platform's membership list.
 type List interface {
-	// VMs returns the list as the platform knows it now.
+	// VMs returns the platform's current list.
 	VMs(ctx context.Context) ([]VM, error)
 }
