--- a/internal/external/burdockstore/http.go
+++ b/internal/external/burdockstore/http.go
@@ -17,28 +17,27 @@
 )
 
 const (
-	callTimeout    = 3 * time.Second
-	dialTimeout    = time.Second
-	idleTimeout    = 30 * time.Second
-	watchAllowance = 2 * time.Second
-	// maxAnswerBytes bounds a listing: all values together, with room for
-	// base64. A single value is a megabyte at most.
+	callTimeout        = 3 * time.Second
+	dialTimeout        = time.Second
+	idleTimeout        = 30 * time.Second
+	watchTimeoutMargin = 2 * time.Second
+	// maxAnswerBytes bounds a listing: all values together, with room for base64. A
+	// single value is at most one megabyte.
 	maxAnswerBytes = 64 << 20
 )
 
-// httpStore speaks to the store's HTTP interface.
+// httpStore is the HTTP client of the store.
 type httpStore struct {
 	client    *http.Client
 	addresses []string
-	// current is the address in use. A failure moves on to the next one.
+	// current selects the address in use. Each failure moves on to the next address.
 	current atomic.Uint32
 }
 
-// NewHTTP returns a Store that can be reached at any of the addresses, each
-// an IP and port.
+// NewHTTP returns a Store that can be reached at any of the addresses, each an IP and port.
 //
-// A call is never sent a second time when its connection dies: a write that
-// took effect would be reported as a lost race against itself.
+// A call is never sent a second time when its connection breaks: a write that took effect
+// the first time would be reported as a conflict with itself.
 func NewHTTP(addresses []string) Store {
 	client := &http.Client{Transport: burdocktransport.NewOnce(&http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
@@ -65,18 +64,18 @@
 	TTL    int64  `url:"ttlMillis"`
 }
 
-// Listing is the store's answer to a list or a watch.
+// Listing is the store's answer to a list or watch request.
 type Listing struct {
 	Entries  []Entry  `json:"entries"`
 	Revision Revision `json:"revision"`
 }
 
-// LeaseGrant is the store's answer to a call for a lease.
+// LeaseGrant is the store's answer to a lease request.
 type LeaseGrant struct {
 	Fence burdockid.Fence `json:"fence"`
 }
 
-// WriteResult is the store's answer to a write.
+// WriteResult is the store's answer to a write request.
 type WriteResult struct {
 	Revision Revision `json:"revision"`
 }
@@ -107,7 +106,7 @@
 func (s *httpStore) Watch(ctx context.Context, prefix string, after Revision, wait burdockclock.Millis) ([]Entry, Revision, error) {
 	req := s.request().Get("/v1/watch").QueryStruct(prefixQuery{Prefix: prefix, After: after, Wait: int64(wait)})
 	var l Listing
-	err := s.call(ctx, wait.Duration()+watchAllowance, req, &l)
+	err := s.call(ctx, wait.Duration()+watchTimeoutMargin, req, &l)
 	return l.Entries, l.Revision, err
 }
 
@@ -132,17 +131,16 @@
 	return s.call(ctx, callTimeout, s.request().Delete("/v1/lease").QueryStruct(q), nil)
 }
 
-// request begins a request to the address in use.
+// request starts to build a request to the address in use.
 func (s *httpStore) request() *sling.Sling {
 	n := int(s.current.Load()) % len(s.addresses)
 	return sling.New().Base("http://" + s.addresses[n])
 }
 
-// call sends one request and reads its JSON answer into out.
+// call sends one request and decodes its JSON answer into out.
 //
-// A call has a deadline of its own since the store can be slow for long
-// stretches: without it a caller would wait on a connection that nothing will
-// ever be sent on.
+// Each call has its own deadline because the store can be slow for long periods. Without
+// one a caller waits forever on a connection on which nothing is ever sent.
 func (s *httpStore) call(ctx context.Context, timeout time.Duration, b *sling.Sling, out any) error {
 	req, err := b.Request()
 	if err != nil {
@@ -184,8 +182,8 @@
 	return nil
 }
 
-// refuses reports whether a status says that the call itself is at fault. A
-// timeout or too many calls leave it to be tried again.
+// refuses reports whether status means that the call itself is invalid. A call that timed
+// out or exceeded the rate limit may be retried instead.
 func refuses(status int) bool {
 	return status >= http.StatusBadRequest && status < http.StatusInternalServerError &&
 		status != http.StatusRequestTimeout && status != http.StatusTooManyRequests
