--- a/internal/base/burdocklog/writer.go
+++ b/internal/base/burdocklog/writer.go
@@ -1,4 +1,4 @@
-// Package burdocklog writes a process's log without ever holding up what logs.
+// Package burdocklog writes a process's log without ever blocking the code that logs.
 package burdocklog
 
 import (
@@ -13,21 +13,22 @@
 )
 
 const (
-	// maxLines bounds the lines that wait to be written: some seconds of a busy
+	// maxLines bounds the queue of lines to write. It covers a few seconds of a busy
 	// process, about a megabyte.
 	maxLines = 4096
-	// maxOrdinary is how many of them may be ordinary ones, so that there is room
-	// for warnings and errors when a reader falls behind.
-	maxOrdinary = maxLines * 3 / 4
-	// closeWait bounds how long the end of a process waits for its reader.
-	closeWait = 200 * time.Millisecond
+	// maxLinesBelowWarn is the queue length from which on lines below the level of
+	// warnings are dropped. The rest is reserved for warnings and errors, in case the
+	// reader falls behind.
+	maxLinesBelowWarn = maxLines * 3 / 4
+	// closeTimeout bounds how long a process that ends waits for the reader of its log.
+	closeTimeout = 200 * time.Millisecond
 )
 
-// Writer hands lines to a goroutine that writes them.
+// Writer queues log lines for a goroutine that writes them.
 //
-// Failure: whoever reads the log stalls. Symptom: a write to the pipe blocks,
-// and with it each request that logs a line. So lines beyond a bound are left
-// out, ordinary ones first, and the next line that is written says how many.
+// When the reader of the log stalls, a write to the pipe blocks, and each request that logs
+// a line would block with it. Lines beyond a limit are therefore dropped, those below the
+// level of warnings first, and their number is logged before the next line.
 type Writer struct {
 	out     io.Writer
 	lines   chan []byte
@@ -37,20 +38,20 @@
 	once    sync.Once
 }
 
-// NewWriter starts to write to out.
+// NewWriter returns a Writer to out and starts its goroutine.
 func NewWriter(out io.Writer) *Writer {
 	w := &Writer{out: out, lines: make(chan []byte, maxLines), closing: make(chan struct{}), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Dropped returns how many lines were left out.
+// Dropped returns the number of lines dropped so far.
 func (w *Writer) Dropped() int64 { return w.dropped.Load() }
 
-// Close writes what waits, for a bounded time.
+// Close writes the queued lines and waits for that for a limited time.
 func (w *Writer) Close() {
 	w.once.Do(func() { close(w.closing) })
-	timer := time.NewTimer(closeWait)
+	timer := time.NewTimer(closeTimeout)
 	defer timer.Stop()
 	select {
 	case <-w.done:
@@ -60,39 +61,39 @@
 
 func (w *Writer) run() {
 	defer close(w.done)
-	told := int64(0)
+	reported := int64(0)
 	for {
 		select {
 		case line := <-w.lines:
-			told = w.write(line, told)
+			reported = w.write(line, reported)
 		case <-w.closing:
 			for len(w.lines) > 0 {
-				told = w.write(<-w.lines, told)
+				reported = w.write(<-w.lines, reported)
 			}
 			return
 		}
 	}
 }
 
-func (w *Writer) write(line []byte, told int64) int64 {
-	if dropped := w.dropped.Load(); dropped > told {
-		// Nobody reads the log if this fails.
-		_, _ = fmt.Fprintf(w.out, "{\"level\":\"warn\",\"message\":\"log lines left out\",\"count\":%d}\n", dropped-told)
-		told = dropped
+func (w *Writer) write(line []byte, reported int64) int64 {
+	if dropped := w.dropped.Load(); dropped > reported {
+		// If the write fails, nobody reads the log.
+		_, _ = fmt.Fprintf(w.out, "{\"level\":\"warn\",\"message\":\"log lines left out\",\"count\":%d}\n", dropped-reported)
+		reported = dropped
 	}
 	_, _ = w.out.Write(line)
-	return told
+	return reported
 }
 
-// sink takes lines as long as fewer than most wait.
+// sink queues a line if fewer than limit lines are queued, and drops it otherwise.
 type sink struct {
 	writer *Writer
-	most   int
+	limit  int
 }
 
 // Write implements io.Writer. It never blocks.
 func (s sink) Write(p []byte) (int, error) {
-	if len(s.writer.lines) >= s.most {
+	if len(s.writer.lines) >= s.limit {
 		s.writer.dropped.Add(1)
 		return len(p), nil
 	}
@@ -107,7 +108,7 @@
 // Sync implements zapcore.WriteSyncer.
 func (s sink) Sync() error { return nil }
 
-// Encoder returns the form of every log's lines.
+// Encoder returns the encoder for the lines of all logs.
 func Encoder() zapcore.Encoder {
 	cfg := zap.NewProductionEncoderConfig()
 	cfg.TimeKey = "time"
@@ -116,8 +117,8 @@
 	return zapcore.NewJSONEncoder(cfg)
 }
 
-// Level returns the level of a name. One that isn't a level stands for "info":
-// settings are checked before, and a tool may pass none.
+// Level returns the level with the given name, or the level "info" if there is none:
+// settings are validated before, and a tool may pass an empty name.
 func Level(name string) zapcore.Level {
 	level, err := zapcore.ParseLevel(name)
 	if err != nil {
@@ -126,28 +127,27 @@
 	return level
 }
 
-// New returns a log of JSON lines over a writer, at a level that may change while
-// it is used.
+// New returns a logger that writes JSON lines to w, at a level that may change while the
+// logger is in use.
 func New(w *Writer, level zap.AtomicLevel) *zap.Logger {
 	encoder := Encoder()
-	ordinary := zap.LevelEnablerFunc(func(l zapcore.Level) bool { return level.Enabled(l) && l < zapcore.WarnLevel })
-	urgent := zap.LevelEnablerFunc(func(l zapcore.Level) bool { return level.Enabled(l) && l >= zapcore.WarnLevel })
+	belowWarn := zap.LevelEnablerFunc(func(l zapcore.Level) bool { return level.Enabled(l) && l < zapcore.WarnLevel })
+	warnOrAbove := zap.LevelEnablerFunc(func(l zapcore.Level) bool { return level.Enabled(l) && l >= zapcore.WarnLevel })
 	return zap.New(zapcore.NewTee(
-		zapcore.NewCore(encoder, sink{w, maxOrdinary}, ordinary),
-		zapcore.NewCore(encoder, sink{w, maxLines}, urgent),
+		zapcore.NewCore(encoder, sink{w, maxLinesBelowWarn}, belowWarn),
+		zapcore.NewCore(encoder, sink{w, maxLines}, warnOrAbove),
 	))
 }
 
-// RedirectStdLog has what libraries write by the standard library's logger go to log,
-// as warnings. The function that is returned ends that.
+// RedirectStdLog redirects the standard library's logger, which libraries use, to log, as
+// warnings. The returned function undoes that.
 //
-// Failure: an upstream sends bytes that nobody asked for on an idle connection.
-// Symptom: net/http says so in a line of plain text on standard error, which
-// whoever reads the log as JSON loses or trips over.
+// For example, net/http reports an unsolicited response on an idle connection as a line of
+// plain text on standard error, which a reader of JSON lines drops or fails on.
 func RedirectStdLog(log *zap.Logger) (restore func()) {
 	restore, err := zap.RedirectStdLogAt(log, zapcore.WarnLevel)
 	if err != nil {
-		log.Error("lines of libraries are not taken over", zap.Error(err))
+		log.Error("can't redirect the standard library's logger", zap.Error(err))
 		return func() {}
 	}
 	return restore
--- a/internal/base/burdocklog/writer_test.go
+++ b/internal/base/burdocklog/writer_test.go
@@ -12,7 +12,7 @@
 	"go.uber.org/zap"
 )
 
-// buffer is a reader of the log that keeps up.
+// buffer is a log output that never blocks.
 type buffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -38,10 +38,10 @@
 	}
 }
 
-// Whoever reads the log stalls: a pipe that nobody reads. Requests that log go
-// on, and when there is a reader again it learns how many lines it lacks, of
-// which none is a warning as long as there is room.
-func TestStalledReaderHoldsNothingUp(t *testing.T) {
+// Nobody reads the pipe that the log is written to. Logging must not block, and once the
+// pipe is read again, the log must contain the number of dropped lines and the warning, for
+// which the queue still had room.
+func TestStalledReaderDoesNotBlockLogging(t *testing.T) {
 	read, write, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
@@ -63,7 +63,7 @@
 		t.Fatal("logging blocks while nobody reads")
 	}
 	if w.Dropped() == 0 {
-		t.Error("got no line left out, want some")
+		t.Error("got no dropped line, want some")
 	}
 	text := make(chan string)
 	go func() {
@@ -79,13 +79,13 @@
 	_ = write.Close()
 	got := <-text
 	if !strings.Contains(got, "log lines left out") || !strings.Contains(got, "a warning") {
-		t.Errorf("got %d bytes without the warning or the count of lines left out", len(got))
+		t.Errorf("got %d bytes without the warning or the number of dropped lines", len(got))
 	}
 }
 
-// An upstream sends bytes that nobody asked for, and net/http writes a line about
-// it past the process's own log, where whoever looks for a cause doesn't see it.
-func TestLinesOfLibrariesAreLogged(t *testing.T) {
+// net/http reports an unsolicited response of an upstream through the standard library's
+// logger. The line must be in the process's log, where operators look for causes.
+func TestStdLogIsRedirected(t *testing.T) {
 	var out buffer
 	lines := NewWriter(&out)
 	restore := RedirectStdLog(New(lines, zap.NewAtomicLevelAt(zap.InfoLevel)))
@@ -99,7 +99,7 @@
 	}
 }
 
-// Whoever looks for a cause turns the level down while the process runs.
+// Operators lower the level of a running process to diagnose a problem.
 func TestLevelChangesWhileRunning(t *testing.T) {
 	var out buffer
 	lines := NewWriter(&out)
