--- a/internal/base/burdockclock/clock.go
+++ b/internal/base/burdockclock/clock.go
@@ -1,4 +1,4 @@
-// Package burdockclock is the project's one notion of time: whole milliseconds.
+// Package burdockclock represents times and durations in whole milliseconds.
 package burdockclock
 
 import (
@@ -8,41 +8,40 @@
 	"golang.org/x/sys/unix"
 )
 
-// Millis is a span of time, or an instant counted from the Unix epoch, in
-// milliseconds.
+// Millis is a duration, or a time since the Unix epoch, in milliseconds.
 type Millis int64
 
-// Common spans.
+// Common durations.
 const (
 	Second Millis = 1000
 	Minute Millis = 60 * Second
 	Hour   Millis = 60 * Minute
 )
 
-// Duration converts a span to the standard library's type.
+// Duration converts a duration to the standard library's type.
 func (m Millis) Duration() time.Duration { return time.Duration(m) * time.Millisecond }
 
-// Time converts an instant to the standard library's type, in UTC.
+// Time converts a time to the standard library's type, in UTC.
 func (m Millis) Time() time.Time { return time.UnixMilli(int64(m)).UTC() }
 
-// FromDuration converts a span, rounding towards zero.
+// FromDuration converts a time.Duration, rounding towards zero.
 func FromDuration(d time.Duration) Millis { return Millis(d / time.Millisecond) }
 
-// Clock tells the time. The zero value is not usable; see System and NewManual.
+// Clock reads the current time. The zero value is not usable; see System and NewManual.
 type Clock struct {
 	now  func() Millis
 	boot func() Millis
 }
 
-// Now returns the wall clock's instant. It may jump when the VM's clock is set.
+// Now returns the wall clock time. It may jump when the VM's clock is set.
 func (c Clock) Now() Millis { return c.now() }
 
-// Boot returns the time since some fixed instant, counting also while the VM
-// is suspended. Go's own monotonic clock stands still then, so a process that
-// was suspended past its lease would believe that it still holds it.
+// Boot returns the time since a fixed point, including the time during which the VM is
+// suspended. Go's monotonic clock stops then, so a process that was suspended until after
+// the end of its lease would believe that it still holds the lease.
 func (c Clock) Boot() Millis { return c.boot() }
 
-// System returns the clock of the machine.
+// System returns the machine's clock.
 func System() Clock {
 	return Clock{
 		now:  func() Millis { return Millis(time.Now().UnixMilli()) },
@@ -59,13 +58,13 @@
 	return Millis(ts.Nano() / int64(time.Millisecond))
 }
 
-// Manual is a clock that moves only when told to, for tests and experiments.
+// Manual is a clock that only Advance moves, for tests and experiments.
 type Manual struct {
 	mu  sync.Mutex
 	now Millis
 }
 
-// NewManual returns a manual clock that stands at start.
+// NewManual returns a manual clock that is set to start.
 func NewManual(start Millis) *Manual { return &Manual{now: start} }
 
 // Clock returns the Clock that reads m.
