--- a/internal/base/burdockfinding/finding.go
+++ b/internal/base/burdockfinding/finding.go
@@ -1,5 +1,5 @@
-// Package burdockfinding collects what a check finds wrong, each with its
-// place, so that all of it is reported together.
+// Package burdockfinding collects the problems that a check finds, each with its location,
+// so that all of them are reported together.
 package burdockfinding
 
 import (
@@ -8,13 +8,13 @@
 	"strings"
 )
 
-// Finding is one thing that is wrong in an input.
+// Finding is one problem in an input.
 type Finding struct {
 	File string // as the user named it; empty when the input is not a file
 	Line int    // from 1; 0 when unknown
 	Key  string // dotted path, such as "customers.acme.share"
 	What string // what is wrong
-	Want string // what would be right; empty when What says it
+	Want string // what is valid instead; empty if What states it
 }
 
 // String returns the finding as "file:line: key: what; want ...".
@@ -74,7 +74,7 @@
 	return &Error{Findings: l.All()}
 }
 
-// Error reports every finding, one a line.
+// Error reports every finding, one per line.
 type Error struct {
 	Findings []Finding
 }
--- a/internal/base/burdockfinding/finding_test.go
+++ b/internal/base/burdockfinding/finding_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestListReportsAllByPlace(t *testing.T) {
+func TestListReportsAllByLocation(t *testing.T) {
 	var l List
 	l.Add(Finding{File: "b.toml", Line: 2, Key: "share", What: "is -1", Want: "0 or more"})
 	l.Add(Finding{File: "a.toml", Line: 9, Key: "x", What: "unknown key"})
