--- a/internal/base/burdockid/expert.go
+++ b/internal/base/burdockid/expert.go
@@ -1,6 +1,6 @@
 package burdockid
 
-// Layer numbers a layer of a model that has experts, from 0.
+// Layer numbers the layers of a model that have experts, from 0.
 type Layer int
 
 // Bytes counts bytes of weights.
--- a/internal/base/burdockid/id.go
+++ b/internal/base/burdockid/id.go
@@ -1,5 +1,5 @@
 // Package burdockid holds the named types for ids and units that every other
-// package shares. docs/GLOSSARY.md says what each word stands for.
+// package shares. docs/GLOSSARY.md defines the terms.
 package burdockid
 
 import (
@@ -22,22 +22,22 @@
 // Service names what a caller asks for: a model or a plain service.
 type Service string
 
-// Profile names an operators' profile.
+// Profile names a profile of settings that operators define.
 type Profile string
 
-// Request identifies one request on every hop that it takes.
+// Request identifies one request on each of its hops.
 type Request string
 
-// IdempotencyKey is what a caller sends to mark repeats of one request.
+// IdempotencyKey is a caller's key that identifies repeats of one request.
 type IdempotencyKey string
 
-// Incarnation tells one run of a process from the next on the same VM.
+// Incarnation identifies one run of a process on a VM.
 type Incarnation string
 
-// Version is the version of one configuration key. It only grows.
+// Version is the version of one configuration key. It only increases.
 type Version uint64
 
-// Fence is a fencing number. An order with a lower one than seen is void.
+// Fence is a fencing token. An order with a lower one than already seen is rejected.
 type Fence uint64
 
 // Tokens counts prompt or output tokens.
@@ -49,8 +49,8 @@
 // Step numbers a step of a lock-stepped group.
 type Step uint64
 
-// Since returns how many steps s comes after earlier; 0 if it doesn't. Steps are
-// unsigned, so a plain difference would wrap around.
+// Since returns the number of steps from earlier to s, or 0 if s is not after earlier. Steps
+// are unsigned, so a plain difference would wrap around.
 func (s Step) Since(earlier Step) Step {
 	if s <= earlier {
 		return 0
@@ -61,18 +61,18 @@
 // Expert numbers an expert of one layer, from 0.
 type Expert int
 
-// MapVersion numbers an expert map of one group. It only grows.
+// MapVersion numbers an expert map of one group. It only increases.
 type MapVersion uint64
 
 const randomBytes = 12
 
-// NewRequest returns a request id that nobody can guess.
-func NewRequest() Request { return Request(random()) }
+// NewRequest returns a request id that can't be guessed.
+func NewRequest() Request { return Request(randomHex()) }
 
 // NewIncarnation returns an id for a process that has just started.
-func NewIncarnation() Incarnation { return Incarnation(random()) }
+func NewIncarnation() Incarnation { return Incarnation(randomHex()) }
 
-func random() string {
+func randomHex() string {
 	var b [randomBytes]byte
 	// crypto/rand.Read never returns an error; it ends the process instead.
 	_, _ = rand.Read(b[:])
