--- a/internal/base/burdockgolden/golden.go
+++ b/internal/base/burdockgolden/golden.go
@@ -1,5 +1,5 @@
-// Package burdockgolden compares what a test got with a file under testdata.
-// Only tests import it.
+// Package burdockgolden compares a test's output with a golden file under testdata. Only
+// tests import it.
 package burdockgolden
 
 import (
@@ -11,8 +11,8 @@
 
 var update = flag.Bool("update", false, "write the golden files")
 
-// Compare reports an error when got is not the content of testdata/name.golden.
-// With -update it writes the file first.
+// Compare reports a test error if got differs from the content of testdata/name.golden.
+// With -update it first writes got to the file.
 func Compare(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name+".golden")
