--- a/internal/wire/burdocktransport/once.go
+++ b/internal/wire/burdocktransport/once.go
@@ -1,4 +1,4 @@
-// Package burdocktransport holds the HTTP client side that every hop shares.
+// Package burdocktransport holds the HTTP and RPC transport settings that hops share.
 package burdocktransport
 
 import (
@@ -7,19 +7,19 @@
 	"net/http"
 )
 
-// once is a RoundTripper that gives each request a body that can't be rewound.
+// once is a RoundTripper that gives each request a body that can't be read again.
 type once struct{ next http.RoundTripper }
 
 // NewOnce returns a RoundTripper that sends each request at most once.
 //
-// When a kept-alive connection dies, net/http's Transport by itself sends a
-// GET again, and a POST that has an Idempotency-Key header: the other side
-// would run it twice and nobody would know. It does so only for a request
-// whose body is absent or can be had again. A body that can be read once,
-// though empty, rules that out for every method.
+// When a kept-alive connection breaks, net/http's Transport sends a GET again, and a POST
+// that has an Idempotency-Key header, so that the server may run it twice unnoticed. It does
+// so only if the request's body is absent or can be read again. A body that can be read only
+// once, even an empty one, prevents that for every method.
 func NewOnce(next http.RoundTripper) http.RoundTripper { return once{next: next} }
 
-// CloseIdleConnections lets http.Client.CloseIdleConnections reach through.
+// CloseIdleConnections closes the idle connections of the wrapped RoundTripper. It is called by
+// http.Client.CloseIdleConnections.
 func (o once) CloseIdleConnections() {
 	if c, ok := o.next.(interface{ CloseIdleConnections() }); ok {
 		c.CloseIdleConnections()
@@ -32,8 +32,8 @@
 	sent.GetBody = nil
 	if sent.Body == nil || sent.Body == http.NoBody {
 		sent.Body = io.NopCloser(onceReader{bytes.NewReader(nil)})
-		// Length unknown: net/http then looks, finds nothing and sends no body.
-		// With a stated length of 0 it would take the body for absent.
+		// With an unknown length net/http reads the body, finds it empty and sends none.
+		// With a length of 0 it would treat the body as absent.
 		sent.ContentLength = -1
 	} else {
 		sent.Body = onceBody{sent.Body}
@@ -41,7 +41,7 @@
 	return o.next.RoundTrip(sent)
 }
 
-// onceReader and onceBody hide that what is below them can be rewound.
+// onceReader and onceBody hide methods by which the wrapped body could be read again.
 type onceReader struct{ io.Reader }
 
 type onceBody struct{ io.ReadCloser }
--- a/internal/wire/burdocktransport/options.go
+++ b/internal/wire/burdocktransport/options.go
@@ -2,25 +2,24 @@
 
 import "connectrpc.com/connect"
 
-// compression is the one algorithm that the RPC library offers by itself.
+// compression is the only algorithm that the RPC library enables by default.
 const compression = "gzip"
 
 const (
-	// messageSlack covers what a message holds beside a caller's body and
-	// headers, and the largest one without either: the memory of one slot of
+	// messageOverhead covers what a message contains besides a caller's body and headers.
+	// It also covers the largest message without these: the records of one slot of
 	// idempotency keys, 16384 lines of about 70 bytes.
-	messageSlack = 4 << 20
-	// maxAnswerBytes bounds one message that another process answers with. The
-	// largest is a whole configuration, some hundreds of keys of which few have
-	// more than some kilobytes.
+	messageOverhead = 4 << 20
+	// maxAnswerBytes bounds one message of an answer from another process. The largest
+	// is a whole configuration: some hundreds of keys, few of which exceed some kilobytes.
 	maxAnswerBytes = 64 << 20
 )
 
-// ClientOptions returns what every client of the system's own processes sets.
+// ClientOptions returns the options of all RPC clients for entries and agents.
 //
-// Load: a message for each token of each stream. Harm: with the library's
-// default each token is compressed by itself, which costs several times what
-// passing it on does and makes it longer, not shorter.
+// They disable compression. Streams send one message per token, and by default the library
+// compresses each message separately, which costs several times as much as forwarding it
+// and makes it longer.
 func ClientOptions() []connect.ClientOption {
 	return []connect.ClientOption{
 		connect.WithAcceptCompression(compression, nil, nil),
@@ -28,16 +27,16 @@
 	}
 }
 
-// HandlerOptions returns what every handler of the system's own processes
-// sets, for processes that pass on bodies and headers up to a size.
+// HandlerOptions returns the options of all RPC handlers of entries and agents, for bodies
+// and headers of callers up to the given sizes in bytes.
 //
-// Failure: a peer of another version, or a stranger where plain TCP is
-// accepted, sends a message without end. Symptom: memory runs out. A message
-// is read whole before it is looked at, so its length is bounded first; without
-// an algorithm for compression it can't unfold to more than was sent.
+// They bound the memory of one message. A peer of another version, or an unknown client
+// where plain TCP is accepted, could send a message without end until memory runs out. A
+// message is read completely before it is checked, so its length is limited first. Without
+// compression it can't expand to more than was sent.
 func HandlerOptions(body int64, header int) []connect.HandlerOption {
 	return []connect.HandlerOption{
 		connect.WithCompression(compression, nil, nil),
-		connect.WithReadMaxBytes(int(body) + header + messageSlack),
+		connect.WithReadMaxBytes(int(body) + header + messageOverhead),
 	}
 }
--- a/internal/wire/burdocktransport/peers.go
+++ b/internal/wire/burdocktransport/peers.go
@@ -9,21 +9,21 @@
 
 const (
 	peerDialTimeout = time.Second
-	// peerIdleTimeout bounds how long an unused connection is believed in: a
-	// device between two VMs may lose track of it without a word.
+	// peerIdleTimeout bounds how long an unused connection is kept: a network device
+	// between two VMs may silently drop its state of the connection.
 	peerIdleTimeout = 10 * time.Second
-	// peerMaxIdle covers the streams that one entry has open at one agent.
-	peerMaxIdle = 64
+	// peerMaxIdleConns covers the streams that one entry has open to one agent.
+	peerMaxIdleConns = 64
 )
 
-// Peers reaches the system's own processes.
+// Peers is the HTTP client for entries and agents.
 type Peers struct {
 	Client *http.Client
 	scheme string
 }
 
-// NewPeers returns the way to other processes. With a nil config it is plain
-// TCP, which the settings must accept in words.
+// NewPeers returns a client that uses TLS with cfg. A nil cfg stands for plain TCP, which
+// the settings must allow explicitly.
 func NewPeers(cfg *tls.Config) *Peers {
 	scheme := "http"
 	if cfg != nil {
@@ -35,20 +35,19 @@
 			DialContext:         (&net.Dialer{Timeout: peerDialTimeout}).DialContext,
 			TLSClientConfig:     cfg,
 			TLSHandshakeTimeout: peerDialTimeout,
-			MaxIdleConnsPerHost: peerMaxIdle,
+			MaxIdleConnsPerHost: peerMaxIdleConns,
 			IdleConnTimeout:     peerIdleTimeout,
 			DisableCompression:  true,
 		})},
 	}
 }
 
-// URL returns the base address of the process at an IP and port.
+// URL returns the base URL of the process at address, an IP and port.
 func (p *Peers) URL(address string) string { return p.scheme + "://" + address }
 
 // DropIdle closes the connections that no request uses.
 //
-// Failure: something between two VMs has lost track of open connections while
-// new ones work. Symptom: each request that gets such a connection waits for
-// the silence limit. Once one is found silent, none of its idle siblings is
-// handed out again.
+// A network device between two VMs may have dropped its state of open connections while new
+// ones work. Each request on such a connection then waits for the whole silence timeout.
+// After one connection has timed out, the caller drops the idle ones as well.
 func (p *Peers) DropIdle() { p.Client.CloseIdleConnections() }
