--- a/internal/standin/burdockfakeengine/engine.go
+++ b/internal/standin/burdockfakeengine/engine.go
@@ -1,6 +1,6 @@
-// Package burdockfakeengine is a stand-in for a model engine and for a plain
-// service, for tests and for trying the system out. Its answers follow from
-// the request alone, so that a test can compare them byte by byte.
+// Package burdockfakeengine implements a fake model engine and a fake plain
+// service, for tests and for trying the system out. An answer depends on the
+// request only, so tests can compare it byte by byte.
 package burdockfakeengine
 
 import (
@@ -17,11 +17,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// RequestIDHeader carries the request's id to the upstream.
+// RequestIDHeader is the header that carries the request ID to the upstream.
 const RequestIDHeader = "Burdock-Request-Id"
 
-// EndsEarly in a prompt makes the stand-in end a streamed answer in good order
-// after half of it, without its end mark.
+// EndsEarly in a chat prompt makes the stand-in send half of a streamed
+// answer and then close the response normally, without the final [DONE] event.
 const EndsEarly = "[ends early]"
 
 const (
@@ -29,22 +29,24 @@
 	maxBodyBytes     = 16 << 20
 )
 
-// Config says how the stand-in behaves.
+// Config sets the behaviour of a stand-in engine.
 type Config struct {
-	// Step is the time between two tokens of one answer.
+	// Step is the time between two tokens of an answer.
 	Step time.Duration
 	// Prefill is the time to the first token.
 	Prefill time.Duration
-	// Models are the names that GET /v1/models lists.
+	// Models are the model names listed by GET /v1/models.
 	Models []string
-	// Rank makes the stand-in the engine of a rank of a lock-stepped group.
+	// Rank, if its Lockstep is set, makes the stand-in the engine of one rank of a
+	// lock-stepped group.
 	Rank RankConfig
 }
 
-// Runs is what the stand-in counted, for comparison with what callers saw.
+// Runs holds the stand-in's request counts, which tests compare with the callers'
+// results.
 type Runs struct {
 	Started map[burdockid.Request]int `json:"started"`
-	// ByKey counts runs by idempotency key, for requests that have one.
+	// ByKey counts started requests by idempotency key, for requests that have one.
 	ByKey     map[burdockid.IdempotencyKey]int `json:"byKey"`
 	Finished  int                              `json:"finished"`
 	Abandoned int                              `json:"abandoned"`
@@ -93,8 +95,8 @@
 	_ = json.NewEncoder(w).Encode(s.Runs())
 }
 
-// counted counts a request as started before it is served, and as finished
-// only when its answer was written whole.
+// counted wraps a handler. It counts a request as started before serve is called, and
+// as finished only if serve reports that the complete answer was written.
 func (s *Server) counted(serve func(http.ResponseWriter, *http.Request) bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
@@ -104,10 +106,10 @@
 		}
 		s.runs.Running++
 		s.mu.Unlock()
-		whole := serve(w, r)
+		complete := serve(w, r)
 		s.mu.Lock()
 		s.runs.Running--
-		if whole {
+		if complete {
 			s.runs.Finished++
 		} else {
 			s.runs.Abandoned++
@@ -140,14 +142,14 @@
 }
 
 func (s *Server) chat(w http.ResponseWriter, r *http.Request) bool {
-	return s.generate(w, r, chatShape{})
+	return s.generate(w, r, chatFormat{})
 }
 
 func (s *Server) completion(w http.ResponseWriter, r *http.Request) bool {
-	return s.generate(w, r, textShape{})
+	return s.generate(w, r, textFormat{})
 }
 
-func (s *Server) generate(w http.ResponseWriter, r *http.Request, sh shape) bool {
+func (s *Server) generate(w http.ResponseWriter, r *http.Request, af answerFormat) bool {
 	var req completionRequest
 	if err := json.NewDecoder(io.LimitReader(r.Body, maxBodyBytes)).Decode(&req); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -158,28 +160,28 @@
 	}
 	words := Words(string(req.Messages)+string(req.Prompt), req.MaxTokens)
 	if req.Stream && strings.Contains(string(req.Messages), EndsEarly) {
-		return s.streamEvents(w, r, sh, req.Model, words[:len(words)/2]) && false
+		return s.streamEvents(w, r, af, req.Model, words[:len(words)/2]) && false
 	}
 	if req.Stream {
-		return s.stream(w, r, sh, req.Model, words)
+		return s.stream(w, r, af, req.Model, words)
 	}
 	if !s.pause(r, s.cfg.Prefill+time.Duration(len(words))*s.cfg.Step) {
 		return false
 	}
-	writeJSON(w, sh.whole(req.Model, words))
+	writeJSON(w, af.complete(req.Model, words))
 	return true
 }
 
-// stream answers with events and the end mark.
-func (s *Server) stream(w http.ResponseWriter, r *http.Request, sh shape, model string, words []string) bool {
-	if !s.streamEvents(w, r, sh, model, words) {
+// stream writes the words as server-sent events, followed by the final [DONE] event.
+func (s *Server) stream(w http.ResponseWriter, r *http.Request, af answerFormat, model string, words []string) bool {
+	if !s.streamEvents(w, r, af, model, words) {
 		return false
 	}
 	_, err := io.WriteString(w, "data: [DONE]\n\n")
 	return err == nil
 }
 
-func (s *Server) streamEvents(w http.ResponseWriter, r *http.Request, sh shape, model string, words []string) bool {
+func (s *Server) streamEvents(w http.ResponseWriter, r *http.Request, af answerFormat, model string, words []string) bool {
 	w.Header().Set("Content-Type", "text/event-stream")
 	flusher := http.NewResponseController(w)
 	if !s.pause(r, s.cfg.Prefill) {
@@ -187,7 +189,7 @@
 	}
 	next := time.Now()
 	for i, word := range words {
-		event, _ := json.Marshal(sh.delta(model, word, i == len(words)-1))
+		event, _ := json.Marshal(af.delta(model, word, i == len(words)-1))
 		if _, err := fmt.Fprintf(w, "data: %s\n\n", event); err != nil {
 			return false
 		}
@@ -202,7 +204,7 @@
 	return true
 }
 
-// pause waits, and reports false when the caller went away.
+// pause waits for d. It reports false if the caller disconnects meanwhile.
 func (s *Server) pause(r *http.Request, d time.Duration) bool {
 	if d <= 0 {
 		return r.Context().Err() == nil
@@ -217,7 +219,7 @@
 	}
 }
 
-// PlainAnswer is what the stand-in answers to a call of a plain service.
+// PlainAnswer is the answer to a plain service request; it echoes the request.
 type PlainAnswer struct {
 	Method string `json:"method"`
 	Path   string `json:"path"`
@@ -234,7 +236,7 @@
 	return true
 }
 
-// Words returns the answer to a prompt: n words that follow from it alone.
+// Words returns the n words that answer a prompt. They depend only on prompt and n.
 func Words(prompt string, n int) []string {
 	seed := xxhash.Sum64String(prompt)
 	words := make([]string, n)
--- a/internal/standin/burdockfakeengine/shape.go
+++ b/internal/standin/burdockfakeengine/format.go
@@ -2,9 +2,9 @@
 
 import "strings"
 
-// shape is one of the two answer formats of the model API.
-type shape interface {
-	whole(model string, words []string) any
+// answerFormat is one of the two answer formats of the model API.
+type answerFormat interface {
+	complete(model string, words []string) any
 	delta(model, word string, last bool) any
 }
 
@@ -33,7 +33,7 @@
 	Content string `json:"content"`
 }
 
-func finish(last bool) *string {
+func finishReason(last bool) *string {
 	if !last {
 		return nil
 	}
@@ -41,39 +41,39 @@
 	return &reason
 }
 
-// chatShape is the format of /v1/chat/completions.
-type chatShape struct{}
+// chatFormat is the format of /v1/chat/completions.
+type chatFormat struct{}
 
-func (chatShape) whole(model string, words []string) any {
+func (chatFormat) complete(model string, words []string) any {
 	m := &message{Role: "assistant", Content: strings.Join(words, "")}
 	return answer{
 		ID: "chatcmpl-standin", Object: "chat.completion", Model: model,
-		Choices: []choice{{Message: m, FinishReason: finish(true)}},
+		Choices: []choice{{Message: m, FinishReason: finishReason(true)}},
 		Usage:   &usage{CompletionTokens: len(words)},
 	}
 }
 
-func (chatShape) delta(model, word string, last bool) any {
+func (chatFormat) delta(model, word string, last bool) any {
 	return answer{
 		ID: "chatcmpl-standin", Object: "chat.completion.chunk", Model: model,
-		Choices: []choice{{Delta: &message{Content: word}, FinishReason: finish(last)}},
+		Choices: []choice{{Delta: &message{Content: word}, FinishReason: finishReason(last)}},
 	}
 }
 
-// textShape is the format of /v1/completions.
-type textShape struct{}
+// textFormat is the format of /v1/completions.
+type textFormat struct{}
 
-func (textShape) whole(model string, words []string) any {
+func (textFormat) complete(model string, words []string) any {
 	return answer{
 		ID: "cmpl-standin", Object: "text_completion", Model: model,
-		Choices: []choice{{Text: strings.Join(words, ""), FinishReason: finish(true)}},
+		Choices: []choice{{Text: strings.Join(words, ""), FinishReason: finishReason(true)}},
 		Usage:   &usage{CompletionTokens: len(words)},
 	}
 }
 
-func (textShape) delta(model, word string, last bool) any {
+func (textFormat) delta(model, word string, last bool) any {
 	return answer{
 		ID: "cmpl-standin", Object: "text_completion", Model: model,
-		Choices: []choice{{Text: word, FinishReason: finish(last)}},
+		Choices: []choice{{Text: word, FinishReason: finishReason(last)}},
 	}
 }
--- a/internal/standin/burdockfakeengine/lockstep.go
+++ b/internal/standin/burdockfakeengine/lockstep.go
@@ -10,65 +10,67 @@
 	"burdockbend.example/burdockbend/internal/external/burdockengine"
 )
 
-// Paths of a Lockstep.
+// Paths of the Lockstep server.
 const (
 	LockstepJoinPath = "/lockstep/join"
 	LockstepTurnPath = "/lockstep/turn"
 	LockstepLogPath  = "/lockstep/log"
 )
 
-// turnWait is how long an engine's question for its turn may be held open.
-const turnWait = 500 * time.Millisecond
+// maxTurnWait is how long a turn request is held open while the step may not begin.
+const maxTurnWait = 500 * time.Millisecond
 
-// Turn is what an engine of a group tells the Lockstep: who it is, and the step
-// that it has finished, if any.
+// Turn is an engine's request to the Lockstep. Finished is the step that the engine
+// has finished last, nil if none.
 type Turn struct {
 	Rank     burdockid.Rank            `json:"rank"`
 	Life     burdockengine.Incarnation `json:"life"`
 	Finished *burdockengine.GroupStep  `json:"finished,omitempty"`
 }
 
-// TurnAnswer says whether an engine may begin its next step.
+// TurnAnswer states whether an engine may begin step Next.
 type TurnAnswer struct {
 	Next  burdockid.Step `json:"next"`
 	Ready bool           `json:"ready"`
-	// Replaced says that another engine has joined as the same rank.
+	// Replaced is true if another engine has since joined as the same rank.
 	Replaced bool `json:"replaced"`
 }
 
-// StepRun is a row of steps that a rank finished with one map.
+// StepRun is a range of consecutive steps, From to To inclusive, that a rank finished
+// with the same expert map.
 type StepRun struct {
 	From burdockid.Step       `json:"from"`
 	To   burdockid.Step       `json:"to"`
 	Map  burdockid.MapVersion `json:"map"`
 }
 
-// LockstepLog is every step that each rank finished, whatever engine ran it.
+// LockstepLog lists the finished steps of each rank, across engine replacements.
 type LockstepLog struct {
 	Ranks [][]StepRun `json:"ranks"`
 }
 
-// Lockstep stands for the exchange between the engines of one group: no rank
-// begins a step before all have finished the one before, and a new engine runs
-// next the step that its predecessor had not finished.
+// Lockstep synchronises the fake engines of one group; it stands in for the exchange
+// between real engines. No rank begins a step before all ranks have finished
+// the previous one, and a replacement engine continues with the first step that its
+// predecessor had not finished.
 type Lockstep struct {
 	mux *http.ServeMux
 
-	mu      sync.Mutex
-	changed chan struct{} // closed and replaced when a step is finished
-	lives   []burdockengine.Incarnation
-	done    []burdockid.Step // lowest step that each rank has not finished
-	log     LockstepLog
+	mu           sync.Mutex
+	changed      chan struct{} // closed and replaced whenever a step is finished
+	incarnations []burdockengine.Incarnation
+	unfinished   []burdockid.Step // by rank: the lowest unfinished step
+	log          LockstepLog
 }
 
-// NewLockstep returns the exchange of a group of ranks.
+// NewLockstep returns a Lockstep for a group with the given number of ranks.
 func NewLockstep(ranks int) *Lockstep {
 	l := &Lockstep{
-		mux:     http.NewServeMux(),
-		changed: make(chan struct{}),
-		lives:   make([]burdockengine.Incarnation, ranks),
-		done:    make([]burdockid.Step, ranks),
-		log:     LockstepLog{Ranks: make([][]StepRun, ranks)},
+		mux:          http.NewServeMux(),
+		changed:      make(chan struct{}),
+		incarnations: make([]burdockengine.Incarnation, ranks),
+		unfinished:   make([]burdockid.Step, ranks),
+		log:          LockstepLog{Ranks: make([][]StepRun, ranks)},
 	}
 	l.mux.HandleFunc("POST "+LockstepJoinPath, l.serveJoin)
 	l.mux.HandleFunc("POST "+LockstepTurnPath, l.serveTurn)
@@ -80,25 +82,25 @@
 func (l *Lockstep) ServeHTTP(w http.ResponseWriter, r *http.Request) { l.mux.ServeHTTP(w, r) }
 
 func (l *Lockstep) serveJoin(w http.ResponseWriter, r *http.Request) {
-	turn, ok := l.read(w, r)
+	turn, ok := l.decodeTurn(w, r)
 	if !ok {
 		return
 	}
 	l.mu.Lock()
-	l.lives[turn.Rank] = turn.Life
-	next := l.done[turn.Rank]
+	l.incarnations[turn.Rank] = turn.Life
+	next := l.unfinished[turn.Rank]
 	l.mu.Unlock()
 	writeJSON(w, TurnAnswer{Next: next})
 }
 
 func (l *Lockstep) serveTurn(w http.ResponseWriter, r *http.Request) {
-	turn, ok := l.read(w, r)
+	turn, ok := l.decodeTurn(w, r)
 	if !ok {
 		return
 	}
-	timeout := time.After(turnWait)
+	timeout := time.After(maxTurnWait)
 	for {
-		answer, changed := l.take(turn)
+		answer, changed := l.advance(turn)
 		if answer.Ready || answer.Replaced {
 			writeJSON(w, answer)
 			return
@@ -114,13 +116,13 @@
 	}
 }
 
-func (l *Lockstep) read(w http.ResponseWriter, r *http.Request) (Turn, bool) {
+func (l *Lockstep) decodeTurn(w http.ResponseWriter, r *http.Request) (Turn, bool) {
 	var turn Turn
 	if err := json.NewDecoder(r.Body).Decode(&turn); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return turn, false
 	}
-	if turn.Rank < 0 || int(turn.Rank) >= len(l.done) {
+	if turn.Rank < 0 || int(turn.Rank) >= len(l.unfinished) {
 		http.Error(w, "no such rank", http.StatusBadRequest)
 		return turn, false
 	}
@@ -133,28 +135,29 @@
 	writeJSON(w, l.log)
 }
 
-// take notes a finished step, once, and says whether the next may begin.
-func (l *Lockstep) take(turn Turn) (TurnAnswer, <-chan struct{}) {
+// advance records the finished step of turn, ignoring repeats, and reports whether the
+// rank may begin its next step. The channel is closed when any rank finishes a step.
+func (l *Lockstep) advance(turn Turn) (TurnAnswer, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.lives[turn.Rank] != turn.Life {
+	if l.incarnations[turn.Rank] != turn.Life {
 		return TurnAnswer{Replaced: true}, l.changed
 	}
-	if turn.Finished != nil && turn.Finished.Step == l.done[turn.Rank] {
-		l.done[turn.Rank]++
-		l.note(turn.Rank, *turn.Finished)
+	if turn.Finished != nil && turn.Finished.Step == l.unfinished[turn.Rank] {
+		l.unfinished[turn.Rank]++
+		l.record(turn.Rank, *turn.Finished)
 		close(l.changed)
 		l.changed = make(chan struct{})
 	}
-	next := l.done[turn.Rank]
+	next := l.unfinished[turn.Rank]
 	ready := true
-	for _, done := range l.done {
-		ready = ready && done >= next
+	for _, step := range l.unfinished {
+		ready = ready && step >= next
 	}
 	return TurnAnswer{Next: next, Ready: ready}, l.changed
 }
 
-func (l *Lockstep) note(rank burdockid.Rank, step burdockengine.GroupStep) {
+func (l *Lockstep) record(rank burdockid.Rank, step burdockengine.GroupStep) {
 	runs := l.log.Ranks[rank]
 	if n := len(runs); n > 0 && runs[n-1].Map == step.Map && runs[n-1].To+1 == step.Step {
 		runs[n-1].To = step.Step
--- a/internal/standin/burdockfakeengine/rank.go
+++ b/internal/standin/burdockfakeengine/rank.go
@@ -16,55 +16,56 @@
 )
 
 const (
-	// rememberedSteps is how many finished steps an engine tells of.
-	rememberedSteps = 1024
-	// heldPause is how often an engine that may not begin looks again.
-	heldPause = time.Millisecond
+	// reportedSteps is the minimum number of recent steps kept for GroupStepsPath.
+	reportedSteps = 1024
+	// holdPollInterval is the interval at which a held engine checks whether it may begin.
+	holdPollInterval = time.Millisecond
 )
 
-// RankConfig says how a stand-in behaves as the engine of a rank.
+// RankConfig sets the behaviour of a stand-in as the engine of one rank.
 type RankConfig struct {
-	// Lockstep is the address of the group's Lockstep; empty for an engine that
-	// is in no group.
+	// Lockstep is the address of the group's Lockstep; empty for an engine
+	// that belongs to no group.
 	Lockstep string
 	Rank     burdockid.Rank
-	Step     time.Duration // time that a step takes
-	Load     time.Duration // time that a map takes to load
-	// Fenced refuses orders with an old fencing number.
+	Step     time.Duration // duration of a step
+	Load     time.Duration // time to load a map
+	// Fenced makes the engine refuse orders with an old fencing number.
 	Fenced bool
-	// Deaf says that it is held, and runs on.
+	// Deaf makes the engine report that it is held, but run further steps.
 	Deaf bool
-	// Layers, Experts and Slots are the shape of the model and of the memory.
+	// Layers is the number of layers, Experts the number of experts in each, and Slots
+	// the number of expert slots that the engine reports.
 	Layers, Experts, Slots int
-	// DriftEvery is the number of steps after which other experts of a layer are
-	// popular; 0 for popularity that stays. The layers turn one after the other.
+	// DriftEvery is the number of steps after which other experts of a layer become
+	// popular; 0 keeps popularity constant. The layers change one after the other.
 	DriftEvery burdockid.Step
 	Seed       uint64
 }
 
 // rankEngine is a stand-in for the engine of one rank of a lock-stepped group.
-// It carries out each order as one act, under the conditions that
-// burdockgroup.EngineOrder states.
+// It executes each order atomically, under the conditions that
+// burdockgroup.EngineOrder defines.
 type rankEngine struct {
-	cfg  RankConfig
-	life burdockengine.Incarnation
-	link *lockstepLink
+	cfg         RankConfig
+	incarnation burdockengine.Incarnation
+	lockstep    *lockstepClient
 
 	mu      sync.Mutex
 	status  burdockgroup.EngineStatus
 	highest burdockid.Fence
-	loads   uint64 // counts loads, so that one that was replaced ends nothing
+	loads   uint64 // number of the current load; the end of an older one is ignored
 	steps   []burdockengine.GroupStep
 	traffic *traffic
 }
 
 func newRankEngine(cfg RankConfig) *rankEngine {
-	life := burdockengine.Incarnation(burdockid.NewIncarnation())
+	incarnation := burdockengine.Incarnation(burdockid.NewIncarnation())
 	e := &rankEngine{
-		cfg:     cfg,
-		life:    life,
-		link:    newLockstepLink(cfg.Lockstep, cfg.Rank, life),
-		traffic: newTraffic(cfg),
+		cfg:         cfg,
+		incarnation: incarnation,
+		lockstep:    newLockstepClient(cfg.Lockstep, cfg.Rank, incarnation),
+		traffic:     newTraffic(cfg),
 	}
 	go e.run()
 	return e
@@ -76,15 +77,15 @@
 	mux.HandleFunc("GET "+burdockengine.GroupCountsPath, e.serveCounts)
 }
 
-// run steps for as long as the process lives and is not replaced.
+// run executes steps until the process ends or another engine replaces this one.
 func (e *rankEngine) run() {
 	ctx := context.Background()
-	next := e.link.join(ctx)
+	next := e.lockstep.join(ctx)
 	e.mu.Lock()
 	e.status.Next = next
 	e.mu.Unlock()
 	var finished *burdockengine.GroupStep
-	for e.link.wait(ctx, finished) {
+	for e.lockstep.awaitTurn(ctx, finished) {
 		step := e.awaitBegin()
 		time.Sleep(e.cfg.Step)
 		e.finish(step)
@@ -92,13 +93,14 @@
 	}
 }
 
-// awaitBegin waits until the next step may begin, and begins it.
+// awaitBegin waits until the next step is not held and the engine has a map, and begins
+// the step.
 func (e *rankEngine) awaitBegin() burdockengine.GroupStep {
 	for {
 		if step, ok := e.begin(); ok {
 			return step
 		}
-		time.Sleep(heldPause)
+		time.Sleep(holdPollInterval)
 	}
 }
 
@@ -125,18 +127,20 @@
 	defer e.mu.Unlock()
 	e.status.LastStep, e.status.LastMap = step.Step, step.Map
 	e.steps = append(e.steps, step)
-	if len(e.steps) > 2*rememberedSteps {
-		e.steps = slices.Clone(e.steps[len(e.steps)-rememberedSteps:])
+	if len(e.steps) > 2*reportedSteps {
+		e.steps = slices.Clone(e.steps[len(e.steps)-reportedSteps:])
 	}
 	e.traffic.add(step.Step)
 }
 
-// apply carries out an order and reports whether it was taken.
+// apply executes an order and reports whether it was accepted. It is refused
+// only for an old fencing number, if the engine is Fenced and the order is no ReadStatus;
+// an accepted order whose conditions are not met changes nothing.
 func (e *rankEngine) apply(fence burdockid.Fence, order burdockgroup.EngineOrder) (burdockgroup.EngineStatus, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	_, reads := order.(burdockgroup.ReadStatus)
-	if e.cfg.Fenced && fence < e.highest && !reads {
+	_, isRead := order.(burdockgroup.ReadStatus)
+	if e.cfg.Fenced && fence < e.highest && !isRead {
 		return e.status, false
 	}
 	e.highest = max(e.highest, fence)
@@ -206,8 +210,8 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	status, taken := e.apply(order.Fence, order.Order())
-	if !taken {
+	status, accepted := e.apply(order.Fence, order.Order())
+	if !accepted {
 		http.Error(w, "old fencing number", http.StatusConflict)
 		return
 	}
@@ -220,7 +224,7 @@
 	i, _ := slices.BinarySearchFunc(e.steps, burdockid.Step(from), func(s burdockengine.GroupStep, from burdockid.Step) int {
 		return int(int64(s.Step) - int64(from))
 	})
-	steps := burdockengine.GroupSteps{Incarnation: e.life, Steps: slices.Clone(e.steps[i:])}
+	steps := burdockengine.GroupSteps{Incarnation: e.incarnation, Steps: slices.Clone(e.steps[i:])}
 	e.mu.Unlock()
 	writeJSON(w, steps)
 }
@@ -228,8 +232,8 @@
 func (e *rankEngine) serveCounts(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	counts := burdockengine.GroupCounts{
-		Incarnation: e.life,
-		Tokens:      e.traffic.copied(),
+		Incarnation: e.incarnation,
+		Tokens:      e.traffic.clone(),
 		Slots:       e.cfg.Slots,
 		ExpertBytes: standinExpertBytes,
 		StoreRate:   standinStoreRate,
@@ -238,15 +242,15 @@
 	writeJSON(w, counts)
 }
 
-// Sizes that a stand-in states: an expert is fetched in a millisecond, so that
-// small drifts are worth a change in tests.
+// Sizes that a stand-in reports. Fetching an expert takes a millisecond, which is cheap
+// enough that small changes of popularity justify a map change in tests.
 const (
 	standinExpertBytes burdockid.Bytes          = 1_000_000
 	standinStoreRate   burdockid.BytesPerSecond = 1_000_000_000
 )
 
-// traffic counts the tokens that a rank sends to each expert. Which experts are
-// popular turns with the steps.
+// traffic generates and counts the tokens that a rank sends to each expert. The popular
+// experts change as steps pass.
 type traffic struct {
 	cfg    RankConfig
 	rng    *rand.Rand
@@ -261,24 +265,25 @@
 	return t
 }
 
-// hottestTokens is what the most popular expert of a layer gets in a step.
+// hottestTokens is the number of tokens per step of a layer's most popular expert,
+// before random noise.
 const hottestTokens = 1000
 
 func (t *traffic) add(step burdockid.Step) {
 	for l, tokens := range t.tokens {
-		turned := 0
+		shift := 0
 		if t.cfg.DriftEvery > 0 {
-			late := t.cfg.DriftEvery * burdockid.Step(l) / burdockid.Step(t.cfg.Layers)
-			turned = int((step + late) / t.cfg.DriftEvery)
+			offset := t.cfg.DriftEvery * burdockid.Step(l) / burdockid.Step(t.cfg.Layers)
+			shift = int((step + offset) / t.cfg.DriftEvery)
 		}
 		for e := range tokens {
-			place := (e + l + turned*t.cfg.Experts/2) % t.cfg.Experts
-			tokens[e] += burdockid.Tokens(hottestTokens/(1+place) + t.rng.IntN(1+hottestTokens/50))
+			position := (e + l + shift*t.cfg.Experts/2) % t.cfg.Experts
+			tokens[e] += burdockid.Tokens(hottestTokens/(1+position) + t.rng.IntN(1+hottestTokens/50))
 		}
 	}
 }
 
-func (t *traffic) copied() [][]burdockid.Tokens {
+func (t *traffic) clone() [][]burdockid.Tokens {
 	copied := make([][]burdockid.Tokens, len(t.tokens))
 	for l, tokens := range t.tokens {
 		copied[l] = slices.Clone(tokens)
