--- a/internal/standin/burdockfakestore/snapshot.go
+++ b/internal/standin/burdockfakestore/snapshot.go
@@ -6,49 +6,50 @@
 	"burdockbend.example/burdockbend/internal/external/burdockstore"
 )
 
-// Paths of the stand-in's own commands.
+// Paths of the stand-in's control interface, which the platform's store does not have.
 const (
-	// PathSnapshot keeps the state as it is now.
+	// PathSnapshot saves the current state; see Server.Snapshot.
 	PathSnapshot = "/snapshot"
-	// PathRestore goes back to the state that was kept.
+	// PathRestore returns to the saved state; see Server.Restore.
 	PathRestore = "/restore"
 )
 
-// state is what a restart from a backup brings back.
+// state is the part of a store that a restart from a backup restores.
 type state struct {
 	revision burdockstore.Revision
 	entries  map[string]burdockstore.Entry
 	leases   map[string]lease
 }
 
-// Snapshot keeps the state as it is now.
+// Snapshot saves the current state for Restore, replacing an earlier snapshot.
 func (s *Server) Snapshot() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.kept = state{revision: s.revision, entries: maps.Clone(s.entries), leases: maps.Clone(s.leases)}
+	s.saved = state{revision: s.revision, entries: maps.Clone(s.entries), leases: maps.Clone(s.leases)}
 }
 
-// Restore restarts the store from the state that Snapshot kept: later writes
-// are lost, revisions count on from the old one, and watches are cut.
+// Restore simulates a restart of the store from a backup, the state saved by Snapshot.
+// Later writes are lost, revisions continue from the saved one, and open watches are
+// disconnected.
 func (s *Server) Restore() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.revision = s.kept.revision
-	s.entries = clone(s.kept.entries)
-	s.leases = clone(s.kept.leases)
+	s.revision = s.saved.revision
+	s.entries = clone(s.saved.entries)
+	s.leases = clone(s.saved.leases)
 	close(s.restarts)
 	s.restarts = make(chan struct{})
 }
 
-// clone returns a map that can be written to, also of a nil one.
+// clone returns a copy of m. Unlike maps.Clone, it returns a writable map for a nil m.
 func clone[K comparable, V any](m map[K]V) map[K]V {
 	copied := make(map[K]V, len(m))
 	maps.Copy(copied, m)
 	return copied
 }
 
-// restarted returns the channel that is closed on the next Restore.
-func (s *Server) restarted() <-chan struct{} {
+// nextRestart returns the channel that is closed by the next Restore.
+func (s *Server) nextRestart() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.restarts
--- a/internal/standin/burdockfakestore/store.go
+++ b/internal/standin/burdockfakestore/store.go
@@ -1,5 +1,5 @@
-// Package burdockfakestore is a stand-in for the platform's configuration
-// store: in memory, over HTTP, for tests and for trying the system out.
+// Package burdockfakestore implements an in-memory stand-in for the platform's
+// configuration store, served over HTTP, for tests and for trying the system out.
 package burdockfakestore
 
 import (
@@ -16,10 +16,10 @@
 	"burdockbend.example/burdockbend/internal/external/burdockstore"
 )
 
-// maxValueBytes is the largest value that the platform's store takes.
+// maxValueBytes is the largest value that the platform's store accepts.
 const maxValueBytes = 1 << 20
 
-// Server holds the keys and leases.
+// Server is a fake store. It holds entries and leases.
 type Server struct {
 	clock burdockclock.Clock
 	mux   *http.ServeMux
@@ -29,7 +29,7 @@
 	revision burdockstore.Revision
 	entries  map[string]burdockstore.Entry
 	leases   map[string]lease
-	kept     state         // what Snapshot kept
+	saved    state         // state saved by Snapshot
 	restarts chan struct{} // closed and replaced on each Restore
 }
 
@@ -53,9 +53,9 @@
 	s.mux.HandleFunc("PUT /v1/key", s.put)
 	s.mux.HandleFunc("GET /v1/list", s.list)
 	s.mux.HandleFunc("GET /v1/watch", s.watch)
-	s.mux.HandleFunc("POST /v1/lease", s.acquire)
-	s.mux.HandleFunc("GET /v1/lease", s.fence)
-	s.mux.HandleFunc("DELETE /v1/lease", s.release)
+	s.mux.HandleFunc("POST /v1/lease", s.acquireLease)
+	s.mux.HandleFunc("GET /v1/lease", s.leaseFence)
+	s.mux.HandleFunc("DELETE /v1/lease", s.releaseLease)
 	s.mux.HandleFunc("POST "+PathSnapshot, func(http.ResponseWriter, *http.Request) { s.Snapshot() })
 	s.mux.HandleFunc("POST "+PathRestore, func(http.ResponseWriter, *http.Request) { s.Restore() })
 	return s
@@ -72,7 +72,7 @@
 		http.Error(w, "no such key", http.StatusNotFound)
 		return
 	}
-	reply(w, e)
+	writeJSON(w, e)
 }
 
 func (s *Server) put(w http.ResponseWriter, r *http.Request) {
@@ -91,10 +91,11 @@
 		http.Error(w, "revision is "+strconv.FormatUint(uint64(revision), 10), http.StatusConflict)
 		return
 	}
-	reply(w, burdockstore.WriteResult{Revision: revision})
+	writeJSON(w, burdockstore.WriteResult{Revision: revision})
 }
 
-// swap writes value if key stands at prev, and returns the key's revision.
+// swap writes value if the key's revision is prev. It returns the key's revision and
+// whether value was written.
 func (s *Server) swap(key string, prev burdockstore.Revision, value []byte) (burdockstore.Revision, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,13 +110,13 @@
 }
 
 func (s *Server) list(w http.ResponseWriter, r *http.Request) {
-	listing, _ := s.after(r.URL.Query().Get("prefix"), 0)
-	reply(w, listing)
+	listing, _ := s.changedAfter(r.URL.Query().Get("prefix"), 0)
+	writeJSON(w, listing)
 }
 
-// after returns the entries under prefix that changed after a revision, and
-// the channel that is closed on the next write.
-func (s *Server) after(prefix string, after burdockstore.Revision) (burdockstore.Listing, <-chan struct{}) {
+// changedAfter returns the entries under prefix that changed after a revision, and the
+// channel that is closed on the next write.
+func (s *Server) changedAfter(prefix string, after burdockstore.Revision) (burdockstore.Listing, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	listing := burdockstore.Listing{Revision: s.revision, Entries: []burdockstore.Entry{}}
@@ -131,17 +132,17 @@
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	wait, _ := strconv.ParseInt(r.URL.Query().Get("waitMillis"), 10, 64)
 	timeout := time.After(burdockclock.Millis(wait).Duration())
-	restarted := s.restarted()
+	restarted := s.nextRestart()
 	for {
-		listing, changed := s.after(r.URL.Query().Get("prefix"), burdockstore.Revision(after))
+		listing, changed := s.changedAfter(r.URL.Query().Get("prefix"), burdockstore.Revision(after))
 		if len(listing.Entries) > 0 {
-			reply(w, listing)
+			writeJSON(w, listing)
 			return
 		}
 		select {
 		case <-changed:
 		case <-timeout:
-			reply(w, listing)
+			writeJSON(w, listing)
 			return
 		case <-restarted:
 			panic(http.ErrAbortHandler)
@@ -151,7 +152,7 @@
 	}
 }
 
-func (s *Server) acquire(w http.ResponseWriter, r *http.Request) {
+func (s *Server) acquireLease(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	ttl, err := strconv.ParseInt(q.Get("ttlMillis"), 10, 64)
 	if err != nil {
@@ -163,48 +164,48 @@
 		http.Error(w, "held by another", http.StatusConflict)
 		return
 	}
-	reply(w, burdockstore.LeaseGrant{Fence: fence})
+	writeJSON(w, burdockstore.LeaseGrant{Fence: fence})
 }
 
 func (s *Server) grant(name, holder string, ttl burdockclock.Millis) (burdockid.Fence, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Boot()
-	held := s.leases[name]
-	expired := held.expires <= now
-	if held.holder != holder && !expired {
+	current := s.leases[name]
+	expired := current.expires <= now
+	if current.holder != holder && !expired {
 		return 0, false
 	}
-	if held.holder != holder || expired {
-		// Also a holder that comes back after its lease lapsed gets a new number:
-		// another may have acted in between and released.
-		held.fence++
+	if current.holder != holder || expired {
+		// A holder whose lease expired also gets a new fencing number, because another
+		// holder may have acquired and released the lease in the meantime.
+		current.fence++
 	}
-	held.holder, held.expires = holder, now+ttl
-	s.leases[name] = held
-	return held.fence, true
+	current.holder, current.expires = holder, now+ttl
+	s.leases[name] = current
+	return current.fence, true
 }
 
-func (s *Server) fence(w http.ResponseWriter, r *http.Request) {
+func (s *Server) leaseFence(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	fence := s.leases[r.URL.Query().Get("name")].fence
 	s.mu.Unlock()
-	reply(w, burdockstore.LeaseGrant{Fence: fence})
+	writeJSON(w, burdockstore.LeaseGrant{Fence: fence})
 }
 
-func (s *Server) release(w http.ResponseWriter, r *http.Request) {
+func (s *Server) releaseLease(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held, ok := s.leases[q.Get("name")]
-	if ok && held.holder == q.Get("holder") {
-		held.expires = 0
-		s.leases[q.Get("name")] = held
+	current, ok := s.leases[q.Get("name")]
+	if ok && current.holder == q.Get("holder") {
+		current.expires = 0
+		s.leases[q.Get("name")] = current
 	}
-	reply(w, struct{}{})
+	writeJSON(w, struct{}{})
 }
 
-func reply(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
