--- a/internal/standin/burdockfakelist/list.go
+++ b/internal/standin/burdockfakelist/list.go
@@ -1,5 +1,5 @@
-// Package burdockfakelist is a stand-in for the platform's membership list. A
-// change shows only after its lag.
+// Package burdockfakelist implements a stand-in for the platform's membership list. It
+// shows a change only after a lag.
 package burdockfakelist
 
 import (
@@ -13,7 +13,7 @@
 	"burdockbend.example/burdockbend/internal/external/burdocklist"
 )
 
-// Server holds the list. PUT /v1/vms takes one VM.
+// Server serves the list on GET /v1/vms. PUT /v1/vms sets the state of one VM.
 type Server struct {
 	clock burdockclock.Clock
 	lag   burdockclock.Millis
@@ -23,25 +23,25 @@
 }
 
 type change struct {
-	at    burdockclock.Millis
-	state burdocklist.State
+	visibleAt burdockclock.Millis
+	state     burdocklist.State
 }
 
-// New returns an empty list that shows a change after lag.
+// New returns a server with an empty list, which shows a change after lag.
 func New(clock burdockclock.Clock, lag burdockclock.Millis) *Server {
 	return &Server{clock: clock, lag: lag, changes: map[burdockid.VM][]change{}}
 }
 
-// Set changes the state of a VM. The list shows the first state of a VM at
-// once, and each later one after the lag.
+// Set changes the state of a VM. The list shows a VM's first state at once, and each
+// later one after the lag.
 func (s *Server) Set(vm burdockid.VM, state burdocklist.State) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	at := s.clock.Boot() + s.lag
+	visibleAt := s.clock.Boot() + s.lag
 	if len(s.changes[vm]) == 0 {
-		at = 0
+		visibleAt = 0
 	}
-	s.changes[vm] = append(s.changes[vm], change{at: at, state: state})
+	s.changes[vm] = append(s.changes[vm], change{visibleAt: visibleAt, state: state})
 }
 
 // ServeHTTP implements http.Handler.
@@ -57,11 +57,11 @@
 		}
 		s.Set(vm.Name, vm.State)
 	default:
-		_ = json.NewEncoder(w).Encode(s.shown())
+		_ = json.NewEncoder(w).Encode(s.visible())
 	}
 }
 
-func (s *Server) shown() []burdocklist.VM {
+func (s *Server) visible() []burdocklist.VM {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Boot()
@@ -69,7 +69,7 @@
 	for name, changes := range s.changes {
 		var state burdocklist.State
 		for _, c := range changes {
-			if c.at <= now {
+			if c.visibleAt <= now {
 				state = c.state
 			}
 		}
