--- a/internal/standin/burdockfault/fault.go
+++ b/internal/standin/burdockfault/fault.go
@@ -1,5 +1,5 @@
-// Package burdockfault lets a stand-in be told to fail, and counts what it is
-// asked.
+// Package burdockfault injects faults into the HTTP handler of a stand-in and counts its
+// requests.
 package burdockfault
 
 import (
@@ -14,34 +14,34 @@
 	"burdockbend.example/burdockbend/internal/base/burdockclock"
 )
 
-// Mode is a way to fail.
+// Mode is a kind of fault.
 type Mode string
 
-// Ways to fail.
+// Kinds of faults.
 const (
-	// None serves as usual.
+	// None injects no fault.
 	None Mode = ""
-	// Down cuts each connection without an answer.
+	// Down closes the connection of each request without an answer.
 	Down Mode = "down"
-	// LostAnswer carries each call out, then cuts the connection.
+	// LostAnswer executes each request, then closes the connection without an answer.
 	LostAnswer Mode = "lostAnswer"
-	// LateEffect cuts each connection without an answer, and carries the call
-	// out DelayMillis later.
+	// LateEffect closes the connection without an answer and executes the request
+	// DelayMillis later.
 	LateEffect Mode = "lateEffect"
-	// Silent takes each call and never answers.
+	// Silent accepts each request and never answers.
 	Silent Mode = "silent"
 )
 
-// Setting says how a stand-in fails until the next setting.
+// Setting is the fault that a stand-in shows until the next setting.
 type Setting struct {
 	Mode        Mode                `json:"mode"`
 	DelayMillis burdockclock.Millis `json:"delayMillis"`
-	// Only, when set, limits the fault to calls with this method.
+	// Only, if set, limits the fault and the delay to requests with this method.
 	Only string `json:"only"`
 }
 
-// Injector wraps a stand-in's handler. Its own interface is PUT /fault with a
-// Setting and GET /counts.
+// Injector wraps a stand-in's handler. It is controlled by PUT /fault with a Setting, and
+// GET /counts returns its request counts.
 type Injector struct {
 	next http.Handler
 
@@ -55,14 +55,14 @@
 	return &Injector{next: next, counts: map[string]int{}}
 }
 
-// Set changes how the stand-in fails.
+// Set sets the fault for the requests that follow.
 func (i *Injector) Set(s Setting) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.setting = s
 }
 
-// Counts returns how often each "METHOD path" was asked for.
+// Counts returns the number of requests by "METHOD path".
 func (i *Injector) Counts() map[string]int {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -95,7 +95,7 @@
 }
 
 func (i *Injector) serve(w http.ResponseWriter, r *http.Request) {
-	s := i.begin(r)
+	s := i.countRequest(r)
 	if s.Only != "" && s.Only != r.Method {
 		s = Setting{}
 	}
@@ -122,7 +122,8 @@
 	}
 }
 
-// serveLate carries a call out later than its caller has given it up.
+// serveLate closes the connection now and executes the request after delay, when its
+// caller has already given up.
 func (i *Injector) serveLate(r *http.Request, delay burdockclock.Millis) {
 	body, err := io.ReadAll(r.Body)
 	if err == nil {
@@ -133,14 +134,14 @@
 	panic(http.ErrAbortHandler)
 }
 
-func (i *Injector) begin(r *http.Request) Setting {
+func (i *Injector) countRequest(r *http.Request) Setting {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.counts[r.Method+" "+r.URL.Path]++
 	return i.setting
 }
 
-// discard is a ResponseWriter that sends nothing.
+// discard is an http.ResponseWriter that drops the response.
 type discard struct{ header http.Header }
 
 // Header implements http.ResponseWriter.
