--- a/internal/standin/burdockstandin/link.go
+++ b/internal/standin/burdockstandin/link.go
@@ -10,25 +10,25 @@
 	"github.com/joomcode/errorx"
 )
 
-// LinkMode says what a link does with connections.
+// LinkMode is how a link treats connections.
 type LinkMode string
 
 // Modes of a link.
 const (
-	// LinkOpen passes bytes both ways.
+	// LinkOpen forwards the bytes of new connections both ways.
 	LinkOpen LinkMode = "open"
-	// LinkSilent swallows all bytes of the connections that are open when it is
-	// set, for good, and closes none of them. New connections work, as when
-	// something between two ends has lost track of the old ones.
+	// LinkSilent permanently drops all bytes of the connections that are open when it
+	// is set, without closing them. New connections work. It simulates a middlebox
+	// that has lost its state of the old connections.
 	LinkSilent LinkMode = "silent"
-	// LinkDark swallows the bytes of new connections as well.
+	// LinkDark drops the bytes of new connections as well, also permanently.
 	LinkDark LinkMode = "dark"
 	// LinkCut closes the open connections.
 	LinkCut LinkMode = "cut"
 )
 
-// Link is a stand-in for the network between two processes: it passes TCP
-// connections on to a target. PUT /link on its control address sets its mode.
+// Link is a TCP proxy that stands in for the network between two processes. It forwards
+// connections to a target; PUT /link on its control address sets its mode.
 type Link struct {
 	target   string
 	listener net.Listener
@@ -36,23 +36,23 @@
 	address  string
 	done     sync.WaitGroup
 
-	mu    sync.Mutex
-	dark  bool
-	pipes map[*pipe]struct{}
+	mu      sync.Mutex
+	dropNew bool
+	pipes   map[*pipe]struct{}
 }
 
-// pipe is one connection through the link.
+// pipe is one connection through the link, accepted from client and dialled to server.
 type pipe struct {
 	link   *Link
 	client net.Conn
 	server net.Conn
 
-	mu     sync.Mutex
-	silent bool
+	mu       sync.Mutex
+	dropping bool
 }
 
-// StartLink starts a link that listens on one port for connections to target,
-// and on another for its control.
+// StartLink starts a link to target. It listens on one loopback port for connections and
+// on another for control requests.
 func StartLink(target string) (*Link, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -83,13 +83,13 @@
 	_ = c.link.control.Serve(c.listener)
 }
 
-// Address returns where the link takes connections.
+// Address returns the address on which the link accepts connections.
 func (l *Link) Address() string { return l.listener.Addr().String() }
 
-// ControlAddress returns where the link is told its mode.
+// ControlAddress returns the address of the link's control interface.
 func (l *Link) ControlAddress() string { return l.address }
 
-// Close ends the link and all its connections.
+// Close stops the link and closes all its connections.
 func (l *Link) Close() {
 	_ = l.listener.Close()
 	_ = l.control.Close()
@@ -106,15 +106,15 @@
 	l.Set(mode)
 }
 
-// Set changes what the link does.
+// Set sets the link's mode.
 func (l *Link) Set(mode LinkMode) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.dark = mode == LinkDark
+	l.dropNew = mode == LinkDark
 	for p := range l.pipes {
 		switch mode {
 		case LinkSilent, LinkDark:
-			p.silence()
+			p.startDropping()
 		case LinkCut:
 			p.close()
 		}
@@ -133,30 +133,30 @@
 			_ = client.Close()
 			continue
 		}
-		l.open(&pipe{link: l, client: client, server: server})
+		l.forward(&pipe{link: l, client: client, server: server})
 	}
 }
 
-func (l *Link) open(p *pipe) {
+func (l *Link) forward(p *pipe) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	p.silent = l.dark
+	p.dropping = l.dropNew
 	l.pipes[p] = struct{}{}
 	l.done.Add(2)
 	go flow{p, p.client, p.server}.run()
 	go flow{p, p.server, p.client}.run()
 }
 
-func (p *pipe) silence() {
+func (p *pipe) startDropping() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.silent = true
+	p.dropping = true
 }
 
-func (p *pipe) muted() bool {
+func (p *pipe) isDropping() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.silent
+	return p.dropping
 }
 
 func (p *pipe) close() {
@@ -164,21 +164,21 @@
 	_ = p.server.Close()
 }
 
-// flow passes bytes one way.
+// flow forwards bytes in one direction.
 type flow struct {
 	pipe *pipe
 	from net.Conn
 	to   net.Conn
 }
 
-const flowBuffer = 32 << 10
+const flowBufferBytes = 32 << 10
 
 func (f flow) run() {
 	defer f.pipe.link.done.Done()
-	buffer := make([]byte, flowBuffer)
+	buffer := make([]byte, flowBufferBytes)
 	for {
 		n, err := f.from.Read(buffer)
-		if n > 0 && !f.pipe.muted() {
+		if n > 0 && !f.pipe.isDropping() {
 			if _, werr := f.to.Write(buffer[:n]); werr != nil {
 				err = werr
 			}
@@ -190,9 +190,10 @@
 	}
 }
 
-// end closes the other side too, unless the link has lost track of it.
+// end closes both sides of the connection, unless the source closed a connection whose
+// bytes are dropped: the other side must not learn of that.
 func (f flow) end(err error) {
-	if err == io.EOF && f.pipe.muted() {
+	if err == io.EOF && f.pipe.isDropping() {
 		return
 	}
 	f.pipe.close()
--- a/internal/standin/burdockstandin/standin.go
+++ b/internal/standin/burdockstandin/standin.go
@@ -1,5 +1,5 @@
-// Package burdockstandin runs the stand-ins for what the platform gives, each
-// behind the same fault injection, for tests and for trying the system out.
+// Package burdockstandin runs stand-ins for the platform's services, each behind the same
+// fault injection, for tests and for trying the system out.
 package burdockstandin
 
 import (
@@ -15,32 +15,32 @@
 	"github.com/joomcode/errorx"
 )
 
-// Kind names a stand-in.
+// Kind is a kind of stand-in.
 type Kind string
 
-// Stand-ins.
+// Kinds of stand-ins.
 const (
 	Store  Kind = "store"
 	List   Kind = "list"
 	Engine Kind = "engine"
 	Plain  Kind = "plain"
-	// Lockstep is the exchange between the engines of a lock-stepped group.
+	// Lockstep synchronises the steps of the engines of a lock-stepped group.
 	Lockstep Kind = "lockstep"
 )
 
-// Config says which stand-in runs, and how.
+// Config selects and configures a stand-in.
 type Config struct {
 	Kind    Kind
 	Address string
-	// Lag is how late the membership list shows a change.
+	// Lag is the time after which the membership list shows a change.
 	Lag burdockclock.Millis
-	// Engine is how an engine or a plain service behaves.
+	// Engine is the configuration of an engine or a plain service.
 	Engine burdockfakeengine.Config
-	// Ranks is the number of engines that a Lockstep keeps in step.
+	// Ranks is the number of engines that a Lockstep synchronises.
 	Ranks int
 }
 
-// Running is a stand-in that serves.
+// Running is a started stand-in.
 type Running struct {
 	Injector *burdockfault.Injector
 	listener net.Listener
@@ -48,9 +48,9 @@
 	done     chan struct{}
 }
 
-// Start starts a stand-in.
+// Start starts the stand-in that cfg describes.
 func Start(cfg Config) (*Running, error) {
-	handler, err := handlerOf(cfg)
+	handler, err := newHandler(cfg)
 	if err != nil {
 		return nil, err
 	}
@@ -69,7 +69,7 @@
 	return r, nil
 }
 
-func handlerOf(cfg Config) (http.Handler, error) {
+func newHandler(cfg Config) (http.Handler, error) {
 	clock := burdockclock.System()
 	switch cfg.Kind {
 	case Store:
@@ -88,14 +88,14 @@
 func (r *Running) run() {
 	defer close(r.done)
 	if err := r.server.Serve(r.listener); !errors.Is(err, http.ErrServerClosed) {
-		panic(err) // a stand-in that can't serve would look like a fault it was told to show
+		panic(err) // otherwise the failure looks like an injected fault
 	}
 }
 
 // Address returns the IP and port that the stand-in listens on.
 func (r *Running) Address() string { return r.listener.Addr().String() }
 
-// Close ends the stand-in at once.
+// Close stops the stand-in at once, closing all connections.
 func (r *Running) Close() {
 	_ = r.server.Close()
 	<-r.done
