--- a/cmd/burdock-standin/rank.go
+++ b/cmd/burdock-standin/rank.go
@@ -25,7 +25,7 @@
 	return func() burdockfakeengine.RankConfig {
 		return burdockfakeengine.RankConfig{
 			Lockstep: *lockstep, Rank: burdockid.Rank(*rank),
-			Step: *step, Load: *load, Fenced: *fenced, Deaf: *deaf,
+			Step: *step, Load: *load, Fenced: *fenced, IgnoreHold: *deaf,
 			Layers: *layers, Experts: *experts, Slots: *slots,
 			DriftEvery: burdockid.Step(*drift), Seed: *seed,
 		}
--- a/internal/proof/burdockgroupproof/fault_test.go
+++ b/internal/proof/burdockgroupproof/fault_test.go
@@ -127,7 +127,7 @@
 // take orders that it has run that step, with the old map, when it commits.
 func TestCheckSeesASplit(t *testing.T) {
 	cfg := settings(false)
-	cfg.Deaf = map[int]bool{ranks - 1: true}
+	cfg.IgnoreHold = map[int]bool{ranks - 1: true}
 	g := burdockprograms.StartGroup(t, cfg)
 	awaitMaps(t, g, 1)
 	g.Agents[ranks-1].Upstream.SetFault(t, burdockfault.Setting{DelayMillis: tooSlowOrder, Only: http.MethodPost})
--- a/internal/proof/burdockprograms/group.go
+++ b/internal/proof/burdockprograms/group.go
@@ -18,11 +18,11 @@
 
 // GroupConfig sets the size and behaviour of a lock-stepped group.
 type GroupConfig struct {
-	Ranks  int
-	Step   time.Duration
-	Load   time.Duration // of a map
-	Fenced bool          // engines check fencing numbers
-	Deaf   map[int]bool  // ranks whose engines run on while they say they are held
+	Ranks      int
+	Step       time.Duration
+	Load       time.Duration // of a map
+	Fenced     bool          // engines check fencing numbers
+	IgnoreHold map[int]bool  // ranks whose engines report a hold but run on
 	// DriftEvery is the number of steps after which other experts are popular.
 	DriftEvery int
 	Layers     int
@@ -92,7 +92,7 @@
 	if g.Group.Fenced {
 		args = append(args, "-fenced")
 	}
-	if g.Group.Deaf[rank] {
+	if g.Group.IgnoreHold[rank] {
 		args = append(args, "-deaf")
 	}
 	return g.standin(t, "engine", args...)
--- a/internal/standin/burdockfakeengine/rank.go
+++ b/internal/standin/burdockfakeengine/rank.go
@@ -32,8 +32,8 @@
 	Load     time.Duration // time to load a map
 	// Fenced makes the engine refuse orders with an old fencing number.
 	Fenced bool
-	// Deaf makes the engine report that it is held, but run further steps.
-	Deaf bool
+	// IgnoreHold makes the engine report that it is held, but run further steps.
+	IgnoreHold bool
 	// Layers is the number of layers, Experts the number of experts in each, and Slots
 	// the number of expert slots that the engine reports.
 	Layers, Experts, Slots int
@@ -108,7 +108,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s := &e.status
-	if s.Held && s.Next >= s.HoldAt && !e.cfg.Deaf {
+	if s.Held && s.Next >= s.HoldAt && !e.cfg.IgnoreHold {
 		return burdockengine.GroupStep{}, false
 	}
 	if s.Switch.Map != 0 && s.Next >= s.Switch.At {
