--- a/internal/proof/burdockprograms/address.go
+++ b/internal/proof/burdockprograms/address.go
@@ -7,25 +7,24 @@
 	"testing"
 )
 
-// Ports that the programs listen on. They lie below those that the kernel
-// gives to connections and to listeners that ask for any.
+// Ports that the programs listen on. They lie below the kernel's ephemeral port range,
+// which serves outgoing connections and listeners on port 0.
 const (
-	firstPort = 12000
-	lastPort  = 31999
-	portTries = 1000
+	firstPort       = 12000
+	lastPort        = 31999
+	maxPortAttempts = 1000
 )
 
-// FreeAddress returns an address on loopback that nobody else listens on, or
-// will before the end of the test.
+// FreeAddress returns a loopback address with a free TCP port, reserved until the end of
+// the test.
 //
-// Failure: a port that was free a moment ago is given to a connection, or to a
-// test in another process, before the program listens on it. Symptom: the
-// program doesn't start, and a test fails that has nothing to do with it. The
-// UDP port of the same number is held as a reservation that every test
-// process respects.
+// Without a reservation, a connection or a test in another process may get the port
+// before the program listens on it. The program then fails to start, and with it an
+// unrelated test. The reservation is the bound UDP port of the same number, which every
+// test process checks.
 func FreeAddress(t testing.TB) string {
 	t.Helper()
-	for range portTries {
+	for range maxPortAttempts {
 		port := firstPort + rand.IntN(lastPort-firstPort+1)
 		address := net.JoinHostPort("127.0.0.1", strconv.Itoa(port))
 		reservation, err := net.ListenPacket("udp", address)
@@ -41,6 +40,6 @@
 		t.Cleanup(func() { _ = reservation.Close() })
 		return address
 	}
-	t.Fatalf("no free port after %d tries", portTries)
+	t.Fatalf("no free port after %d attempts", maxPortAttempts)
 	return ""
 }
--- a/internal/proof/burdockprograms/build.go
+++ b/internal/proof/burdockprograms/build.go
@@ -1,6 +1,5 @@
-// Package burdockprograms starts the built programs as separate processes on
-// loopback, for tests: stand-ins, agents and entries, which can be killed,
-// frozen, stopped and started again.
+// Package burdockprograms starts the built programs as separate processes on loopback,
+// for tests. Tests can kill, suspend, stop and restart the stand-ins, agents and entries.
 package burdockprograms
 
 import (
@@ -18,7 +17,7 @@
 	entryProgram   = "burdock-entry"
 	agentProgram   = "burdock-agent"
 	standinProgram = "burdock-standin"
-	// OperatorProgram is the operators' command line.
+	// OperatorProgram is the operators' command-line tool.
 	OperatorProgram = "burdock"
 )
 
@@ -28,8 +27,8 @@
 	buildErr  error
 )
 
-// Build returns the directory that holds the built programs. They are built
-// once for each test binary, with the race detector where the tests use it.
+// Build returns the directory of the built programs. They are built once per test
+// process, with the race detector if the tests run with it.
 func Build(t testing.TB) string {
 	t.Helper()
 	buildOnce.Do(build)
@@ -39,7 +38,7 @@
 	return buildDir
 }
 
-// CleanUp removes the built programs. A TestMain calls it at its end.
+// CleanUp removes the built programs. TestMain calls it after the tests.
 func CleanUp() {
 	if buildDir != "" {
 		_ = os.RemoveAll(buildDir)
@@ -53,7 +52,7 @@
 	}
 	_, file, _, _ := runtime.Caller(0)
 	root := filepath.Join(filepath.Dir(file), "..", "..", "..")
-	if buildErr = track(root); buildErr != nil {
+	if buildErr = statSources(root); buildErr != nil {
 		return
 	}
 	args := []string{"build", "-o", buildDir + string(filepath.Separator)}
@@ -69,13 +68,13 @@
 	}
 }
 
-// track looks at every file that the programs are built from.
+// statSources calls os.Stat for every file that the programs are built from, so that the
+// go command's test cache depends on them.
 //
-// Failure: a change of the product alone, in a package that a test does not
-// import, and a run of that test. Symptom: the go command finds the test
-// unchanged and prints the result of the run before the change. It does count
-// the files that a test looked at, so looking at them is enough.
-func track(root string) error {
+// Otherwise, after a change in a package that the test does not import, go test takes the
+// test for unchanged and prints the cached result from before the change. The cache does
+// take into account the files that a test has opened or examined with Stat.
+func statSources(root string) error {
 	for _, dir := range []string{"cmd", "internal", "go.mod", "go.sum"} {
 		err := filepath.WalkDir(filepath.Join(root, dir), func(path string, _ fs.DirEntry, err error) error {
 			if err != nil {
--- a/internal/proof/burdockprograms/call.go
+++ b/internal/proof/burdockprograms/call.go
@@ -11,7 +11,7 @@
 	"burdockbend.example/burdockbend/internal/standin/burdockfakeengine"
 )
 
-// Call is one request of a caller.
+// Call is a request that a test sends to an entry.
 type Call struct {
 	Method string
 	Path   string
@@ -19,22 +19,22 @@
 	Header map[string]string
 }
 
-// Answer is what the caller saw.
+// Answer is the response to a Call as the caller received it.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   string
-	// Err is set when no answer came, or when it broke off.
+	// Err is set if there was no response or its body was incomplete.
 	Err error
 }
 
-// NotRun reports whether the answer says that the request did not run.
+// NotRun reports whether the answer states that the request was not executed.
 func (a Answer) NotRun() bool { return a.Header.Get("Burdock-Not-Run") == "true" }
 
-// Whole reports whether the caller has a whole answer of the upstream.
+// Whole reports whether the answer is a complete response with status 200.
 func (a Answer) Whole() bool { return a.Err == nil && a.Status == http.StatusOK }
 
-// Chat returns a call for tokens words of an answer to prompt.
+// Chat returns a chat completion call with the given prompt and max_tokens.
 func Chat(prompt string, tokens int, stream bool) Call {
 	return Call{
 		Method: http.MethodPost,
@@ -44,7 +44,7 @@
 	}
 }
 
-// ChatWords returns the text that a whole answer to Chat holds.
+// ChatWords returns the text of the complete answer to a Chat call.
 func ChatWords(prompt string, tokens int) string {
 	messages := fmt.Sprintf(`[{"role":"user","content":%q}]`, prompt)
 	return strings.Join(burdockfakeengine.Words(messages, tokens), "")
@@ -55,7 +55,7 @@
 	return f.SendWith(ctx, http.DefaultClient, e, call)
 }
 
-// SendWith sends a call with a client, whose connections may be kept alive.
+// SendWith sends a call to an entry through the given HTTP client.
 func (f *Fleet) SendWith(ctx context.Context, client *http.Client, e *Entry, call Call) Answer {
 	req, err := http.NewRequestWithContext(ctx, call.Method, "http://"+e.Callers+call.Path, bytes.NewReader([]byte(call.Body)))
 	if err != nil {
--- a/internal/proof/burdockprograms/fleet.go
+++ b/internal/proof/burdockprograms/fleet.go
@@ -20,7 +20,7 @@
 	"burdockbend.example/burdockbend/internal/standin/burdockfault"
 )
 
-// Names that every test fleet uses.
+// Names used in every test fleet.
 const (
 	ModelService = "llm-pool"
 	PlainService = "bench-api"
@@ -37,22 +37,22 @@
 	Plains  int // replicas of the plain service
 	Entries int
 	Slots   int
-	Step    time.Duration // between two tokens
+	Step    time.Duration // between two tokens of an answer
 	Prefill time.Duration
-	Lag     time.Duration // of the membership list
-	// Links puts a link between the entries and each agent.
+	Lag     time.Duration // of changes in the membership list
+	// Links puts a Link between the entries and each agent.
 	Links bool
-	// ProfileExtra is added to the profile's TOML, such as its stop behaviour.
+	// ProfileExtra is TOML added to the profile, for example its stop settings.
 	ProfileExtra string
 }
 
-// Standin is one stand-in process.
+// Standin is a stand-in process.
 type Standin struct {
 	*Process
 	Address string
 }
 
-// Agent is one agent process and the upstream beside it.
+// Agent is an agent process with its upstream.
 type Agent struct {
 	*Process
 	Name     string
@@ -60,12 +60,12 @@
 	Peer     string
 	Admin    string
 	Upstream *Standin
-	// Link is what entries reach the agent through; nil without Config.Links.
+	// Link is the link between entries and the agent; nil without Config.Links.
 	Link     *Link
 	settings string
 }
 
-// Address returns where entries reach the agent.
+// Address returns the address at which entries reach the agent.
 func (a *Agent) Address() string {
 	if a.Link != nil {
 		return a.Link.Address
@@ -73,7 +73,7 @@
 	return a.Peer
 }
 
-// Entry is one entry process.
+// Entry is an entry process.
 type Entry struct {
 	*Process
 	Name     string
@@ -83,19 +83,19 @@
 	settings string
 }
 
-// Fleet is a whole system of separate processes.
+// Fleet is a complete system of separate processes.
 type Fleet struct {
 	Config  Config
 	Store   *Standin
 	List    *Standin
 	Agents  []*Agent
 	Entries []*Entry
-	Key     string // the customer's
+	Key     string // the customer's API key
 	dir     string
 	bin     string
 }
 
-// Start starts a fleet and waits until all of it holds its configuration.
+// Start starts a fleet, applies its configuration and waits until all processes have it.
 func Start(t testing.TB, cfg Config) *Fleet {
 	t.Helper()
 	f := Launch(t, cfg)
@@ -104,7 +104,7 @@
 	return f
 }
 
-// Launch starts the processes without any configuration.
+// Launch starts the processes of a fleet without applying a configuration.
 func Launch(t testing.TB, cfg Config) *Fleet {
 	t.Helper()
 	f := &Fleet{Config: cfg, Key: burdockkey.New(), dir: t.TempDir(), bin: Build(t)}
@@ -123,8 +123,8 @@
 	return f
 }
 
-// startEntries writes the settings of all entries, which name each other, and
-// starts them.
+// startEntries writes the settings of all entries and starts them. The entries' addresses
+// must be set before, because the settings list all of them as peers.
 func (f *Fleet) startEntries(t testing.TB) {
 	t.Helper()
 	for i, e := range f.Entries {
@@ -166,14 +166,14 @@
 	f.StartAgent(t, a)
 }
 
-// StartAgent starts an agent's process, at first or again.
+// StartAgent starts or restarts an agent's process and waits until it is up.
 func (f *Fleet) StartAgent(t testing.TB, a *Agent) {
 	t.Helper()
 	a.Process, _ = start(t, a.Name, f.program(agentProgram), false, "-settings", a.settings)
 	waitUp(t, a.Name, a.Admin)
 }
 
-// newEntry chooses an entry's addresses, which all settings name.
+// newEntry returns an entry with free addresses, without starting it.
 func newEntry(t testing.TB, i int) *Entry {
 	t.Helper()
 	return &Entry{
@@ -184,7 +184,7 @@
 	}
 }
 
-// StartEntry starts an entry's process, at first or again.
+// StartEntry starts or restarts an entry's process and waits until it is up.
 func (f *Fleet) StartEntry(t testing.TB, e *Entry) {
 	t.Helper()
 	e.Process, _ = start(t, e.Name, f.program(entryProgram), false, "-settings", e.settings)
@@ -217,8 +217,8 @@
 	return path
 }
 
-// ProfileTOML returns the profile file of the fleet. The comment makes each
-// edit differ.
+// ProfileTOML returns the fleet's profile file. Different values of maxQueued make edits
+// differ from each other.
 func (f *Fleet) ProfileTOML(maxQueued int) string {
 	return fmt.Sprintf(`[[profile]]
 name = "bench"
@@ -235,7 +235,7 @@
 `, f.Config.ProfileExtra, maxQueued)
 }
 
-// FleetTOML returns the membership file of the fleet.
+// FleetTOML returns the fleet's membership file.
 func (f *Fleet) FleetTOML() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "site = %q\n", site)
@@ -261,7 +261,7 @@
 
 const defaultMaxQueued = 256
 
-// Apply puts profile and membership in force by the operators' command line.
+// Apply applies the profile and the membership with the operators' command-line tool.
 func (f *Fleet) Apply(t testing.TB) {
 	t.Helper()
 	profiles := f.write(t, "profiles", f.ProfileTOML(defaultMaxQueued))
@@ -270,8 +270,8 @@
 	f.Operate(t, "fleet", "apply", "-store", f.Store.Address, members)
 }
 
-// Remove takes an agent's upstream out of the fleet, and says that its VM is
-// gone.
+// Remove removes an agent's upstream from the fleet and declares its VM gone. It does
+// not stop the agent's process.
 func (f *Fleet) Remove(t testing.TB, gone *Agent) {
 	t.Helper()
 	f.Agents = slices.DeleteFunc(f.Agents, func(a *Agent) bool { return a == gone })
@@ -279,19 +279,20 @@
 	f.Operate(t, "fleet", "apply", "-store", f.Store.Address, "-gone", gone.Name, members)
 }
 
-// ApplyProfile puts a profile file in force.
+// ApplyProfile applies a profile file and returns the command's output.
 func (f *Fleet) ApplyProfile(t testing.TB, content string) string {
 	t.Helper()
 	return f.Operate(t, "profile", "apply", "-store", f.Store.Address, f.write(t, "edit", content))
 }
 
-// ApplyFleet puts a membership file in force.
+// ApplyFleet applies a membership file and returns the command's output.
 func (f *Fleet) ApplyFleet(t testing.TB, content string) string {
 	t.Helper()
 	return f.Operate(t, "fleet", "apply", "-store", f.Store.Address, f.write(t, "members", content))
 }
 
-// Operate runs one command of the operators, which must succeed.
+// Operate runs the operators' command-line tool and returns its output. The test fails if
+// the exit status is not 0.
 func (f *Fleet) Operate(t testing.TB, args ...string) string {
 	t.Helper()
 	out, status := f.TryOperate(args...)
@@ -301,15 +302,15 @@
 	return out
 }
 
-// TryOperate runs one command of the operators, and returns its exit status.
+// TryOperate runs the operators' command-line tool and returns its output and exit
+// status.
 func (f *Fleet) TryOperate(args ...string) (string, int) {
 	cmd := exec.Command(f.program(OperatorProgram), args...)
 	out, _ := cmd.CombinedOutput()
 	return string(out), cmd.ProcessState.ExitCode()
 }
 
-// WaitReady waits until every process is ready and all hold the same
-// configuration.
+// WaitReady waits until every process is ready and all have the same configuration.
 func (f *Fleet) WaitReady(t testing.TB) {
 	t.Helper()
 	Eventually(t, "every process is ready with the same configuration", func() bool {
@@ -336,7 +337,8 @@
 	return admins
 }
 
-// Digest returns the digest of the configuration that a ready process holds.
+// Digest returns the configuration digest of the process with the given admin address. It
+// reports false if the process is not ready.
 func Digest(admin string) (string, bool) {
 	if status, _ := Get("http://" + admin + "/readyz"); status != http.StatusOK {
 		return "", false
@@ -352,17 +354,17 @@
 	return dump.Config.Digest.String(), true
 }
 
-// InFlight returns how many requests run on an engine.
+// InFlight returns the number of requests that an engine is executing.
 func (s *Standin) InFlight() int { return s.Runs().Running }
 
-// Runs returns the counts of a stand-in engine or plain service.
+// Runs returns the request counts of a stand-in engine or plain service.
 func (s *Standin) Runs() burdockfakeengine.Runs {
 	var runs burdockfakeengine.Runs
 	GetJSON("http://"+s.Address+"/runs", &runs)
 	return runs
 }
 
-// SetFault tells a stand-in how to fail from now on.
+// SetFault sets the fault that a stand-in shows from now on.
 func (s *Standin) SetFault(t testing.TB, setting burdockfault.Setting) {
 	t.Helper()
 	body, err := json.Marshal(setting)
@@ -380,7 +382,7 @@
 	_ = res.Body.Close()
 }
 
-// Counts returns how often a stand-in was asked for what.
+// Counts returns the number of requests to a stand-in by "METHOD path".
 func (s *Standin) Counts() map[string]int {
 	counts := map[string]int{}
 	GetJSON("http://"+s.Address+"/counts", &counts)
@@ -388,12 +390,13 @@
 }
 
 const (
-	getTimeout      = 5 * time.Second
-	eventuallyMost  = 60 * time.Second
-	eventuallyPause = 50 * time.Millisecond
+	getTimeout         = 5 * time.Second
+	eventuallyTimeout  = 60 * time.Second
+	eventuallyInterval = 50 * time.Millisecond
 )
 
-// Get returns the status and body of a GET; status 0 when there was no answer.
+// Get returns the status and body of a GET request. The status is 0 if there was no
+// complete response.
 func Get(url string) (int, string) {
 	ctx, cancel := context.WithTimeout(context.Background(), getTimeout)
 	defer cancel()
@@ -413,21 +416,23 @@
 	return res.StatusCode, string(body)
 }
 
-// GetJSON decodes the answer to a GET, and reports whether there was one.
+// GetJSON decodes the JSON response to a GET request into v. It reports whether the status
+// was 200 and the body was valid.
 func GetJSON(url string, v any) bool {
 	status, body := Get(url)
 	return status == http.StatusOK && json.Unmarshal([]byte(body), v) == nil
 }
 
-// Eventually waits for a condition. Its limit is far beyond what any machine
-// needs, so that it fails only when the condition never comes.
+// Eventually waits until a condition is true, and fails the test after a timeout. The
+// timeout is far longer than any machine needs, so that a slow machine does not fail the
+// test.
 func Eventually(t testing.TB, what string, condition func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(eventuallyMost)
+	deadline := time.Now().Add(eventuallyTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("did not come about within %v: %s", eventuallyMost, what)
+			t.Fatalf("condition not met within %v: %s", eventuallyTimeout, what)
 		}
-		time.Sleep(eventuallyPause)
+		time.Sleep(eventuallyInterval)
 	}
 }
--- a/internal/proof/burdockprograms/group.go
+++ b/internal/proof/burdockprograms/group.go
@@ -13,34 +13,35 @@
 	"burdockbend.example/burdockbend/internal/standin/burdockfakeengine"
 )
 
-// GroupName is the lock-stepped group of a test.
+// GroupName is the name of the lock-stepped group in tests.
 const GroupName = "decks-1"
 
 // GroupConfig sets the size and behaviour of a lock-stepped group.
 type GroupConfig struct {
 	Ranks      int
 	Step       time.Duration
-	Load       time.Duration // of a map
+	Load       time.Duration // time to load a map
 	Fenced     bool          // engines check fencing numbers
 	IgnoreHold map[int]bool  // ranks whose engines report a hold but run on
-	// DriftEvery is the number of steps after which other experts are popular.
+	// DriftEvery is the number of steps after which other experts become popular; 0
+	// keeps popularity constant.
 	DriftEvery int
 	Layers     int
-	// ProfileExtra is added to the profile's TOML.
+	// ProfileExtra is TOML added to the profile.
 	ProfileExtra string
 }
 
-// Group is a lock-stepped group of separate processes: a store, the exchange
-// between the engines, an engine and an agent for each rank, and an entry. Its
-// steps need no callers; the entry passes on the configuration while the store
-// is out.
+// Group is a lock-stepped group of separate processes: a store, a membership list, a
+// Lockstep that synchronises the engines, an engine and an agent for each rank, and an
+// entry. The group steps without requests from callers. The entry is there to pass on the
+// configuration while the store is down.
 type Group struct {
 	*Fleet
 	Group    GroupConfig
 	Lockstep *Standin
 }
 
-// StartGroup starts a group and puts its membership in force.
+// StartGroup starts a group and applies its profile and membership.
 func StartGroup(t testing.TB, cfg GroupConfig) *Group {
 	t.Helper()
 	f := &Fleet{
@@ -98,7 +99,8 @@
 	return g.standin(t, "engine", args...)
 }
 
-// ReplaceEngine ends the engine of a rank and starts an empty one in its place.
+// ReplaceEngine kills the engine of a rank and starts a new one, without a map, at the
+// same address.
 func (g *Group) ReplaceEngine(t testing.TB, rank int) {
 	t.Helper()
 	a := g.Agents[rank]
@@ -124,14 +126,15 @@
 	return b.String()
 }
 
-// Log returns every step that each rank finished.
+// Log returns the finished steps of each rank.
 func (g *Group) Log() burdockfakeengine.LockstepLog {
 	var log burdockfakeengine.LockstepLog
 	GetJSON("http://"+g.Lockstep.Address+burdockfakeengine.LockstepLogPath, &log)
 	return log
 }
 
-// State returns what the agent of a rank shows of the group, if it answers.
+// State returns the group state in the state dump of a rank's agent. It reports false if
+// there is none.
 func (g *Group) State(rank int) (burdockrank.State, bool) {
 	var dump struct {
 		Group *burdockrank.State `json:"group"`
@@ -142,7 +145,8 @@
 	return *dump.Group, true
 }
 
-// Last returns the lowest of the ranks' last steps, and whether all have one.
+// Last returns the last step that all ranks have finished. It reports false if a rank has
+// finished none.
 func Last(log burdockfakeengine.LockstepLog) (burdockid.Step, bool) {
 	var last burdockid.Step
 	for i, runs := range log.Ranks {
--- a/internal/proof/burdockprograms/link.go
+++ b/internal/proof/burdockprograms/link.go
@@ -10,7 +10,7 @@
 	"burdockbend.example/burdockbend/internal/standin/burdockstandin"
 )
 
-// Link is a stand-in for the network before one agent.
+// Link is a stand-in for the network between the entries and one agent.
 type Link struct {
 	*Process
 	Address string
@@ -24,7 +24,7 @@
 	return &Link{Process: p, Address: address, control: control}
 }
 
-// Set changes what the link does.
+// Set sets the link's mode.
 func (l *Link) Set(t testing.TB, mode burdockstandin.LinkMode) {
 	t.Helper()
 	body, err := json.Marshal(mode)
--- a/internal/proof/burdockprograms/load.go
+++ b/internal/proof/burdockprograms/load.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Sent is one call of a Load and what came of it.
+// Sent is a finished call of a Load with its answer.
 type Sent struct {
 	Call   Call
 	Prompt string
@@ -18,9 +18,9 @@
 	Took   time.Duration
 }
 
-// Load sends calls from a number of callers until it is stopped. Each caller
-// keeps its connections alive and goes from entry to entry, as the platform's
-// balancer would lead it.
+// Load sends calls from several concurrent callers until it is stopped. Each caller keeps
+// its connections alive and rotates through the ready entries, as the platform's balancer
+// distributes calls.
 type Load struct {
 	fleet   *Fleet
 	callers int
@@ -34,8 +34,8 @@
 	sent []Sent
 }
 
-// StreamedChats returns calls for streamed answers of some tokens, no two
-// prompts the same.
+// StreamedChats returns a generator of streamed chat calls for StartLoad. Every call has a
+// different prompt.
 func StreamedChats(tokens int) func(caller, n int) (string, int, Call) {
 	return func(caller, n int) (string, int, Call) {
 		prompt := fmt.Sprintf("caller %d call %d", caller, n)
@@ -43,7 +43,8 @@
 	}
 }
 
-// StartLoad starts callers that each send one call after another.
+// StartLoad starts the given number of callers, which each send the calls returned by
+// next, one at a time.
 func (f *Fleet) StartLoad(callers int, next func(caller, n int) (string, int, Call)) *Load {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &Load{fleet: f, callers: callers, next: next, cancel: cancel, stop: make(chan struct{}), ready: entryReady}
@@ -54,13 +55,13 @@
 	return l
 }
 
-// entryReady asks an entry what the platform's balancer would ask it.
+// entryReady checks an entry's readiness in the way of the platform's balancer.
 func entryReady(e *Entry) bool {
 	status, _ := Get("http://" + e.Callers + "/readyz")
 	return status == http.StatusOK
 }
 
-// Stop lets each caller finish its last call, and returns all calls.
+// Stop waits until each caller has finished its current call, and returns all calls.
 func (l *Load) Stop() []Sent {
 	close(l.stop)
 	l.done.Wait()
@@ -68,7 +69,7 @@
 	return l.sent
 }
 
-// Len returns how many calls have ended so far.
+// Len returns the number of calls finished so far.
 func (l *Load) Len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -96,7 +97,7 @@
 	}
 }
 
-// entry returns the next entry that is ready.
+// entry returns the next ready entry for the caller's nth call; nil if none is ready.
 func (c *loadCaller) entry(n int) *Entry {
 	entries := c.load.fleet.Entries
 	for i := range entries {
@@ -109,9 +110,9 @@
 
 func (c *loadCaller) send(ctx context.Context, e *Entry, n int) {
 	prompt, tokens, call := c.load.next(c.number, n)
-	began := time.Now()
+	started := time.Now()
 	answer := c.load.fleet.SendWith(ctx, c.client, e, call)
-	sent := Sent{Call: call, Prompt: prompt, Tokens: tokens, Entry: e.Name, Answer: answer, Took: time.Since(began)}
+	sent := Sent{Call: call, Prompt: prompt, Tokens: tokens, Entry: e.Name, Answer: answer, Took: time.Since(started)}
 	c.load.mu.Lock()
 	defer c.load.mu.Unlock()
 	c.load.sent = append(c.load.sent, sent)
--- a/internal/proof/burdockprograms/process.go
+++ b/internal/proof/burdockprograms/process.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// Process is one started program.
+// Process is a started program.
 type Process struct {
 	Name string
 	cmd  *exec.Cmd
@@ -22,8 +22,8 @@
 	err  error
 }
 
-// start starts a program. Its first line of output, if it is asked for, comes
-// back as the address.
+// start starts a program. With wantAddress it returns the program's first line of output,
+// which states its address.
 func start(t testing.TB, name, program string, wantAddress bool, args ...string) (*Process, string) {
 	t.Helper()
 	p := &Process{Name: name, cmd: exec.Command(program, args...), log: &tail{}, exit: make(chan struct{})}
@@ -57,8 +57,7 @@
 	close(p.exit)
 }
 
-// finish ends a process at the end of its test, and shows its log if the test
-// failed.
+// finish kills the process at the end of its test, and prints its log if the test failed.
 func (p *Process) finish(t testing.TB) {
 	p.Kill()
 	if t.Failed() {
@@ -66,22 +65,24 @@
 	}
 }
 
-// Kill ends the process at once, as a VM that is lost would.
+// Kill kills the process with SIGKILL, which simulates the loss of its VM, and waits for
+// its end.
 func (p *Process) Kill() {
 	_ = p.cmd.Process.Signal(syscall.SIGKILL)
 	<-p.exit
 }
 
-// Freeze stops the process in its tracks; Thaw lets it go on.
+// Freeze suspends the process with SIGSTOP until Thaw is called.
 func (p *Process) Freeze() { _ = p.cmd.Process.Signal(syscall.SIGSTOP) }
 
-// Thaw lets a frozen process go on.
+// Thaw resumes a suspended process.
 func (p *Process) Thaw() { _ = p.cmd.Process.Signal(syscall.SIGCONT) }
 
-// Terminate asks for a planned stop.
+// Terminate requests a planned stop with SIGTERM.
 func (p *Process) Terminate() { _ = p.cmd.Process.Signal(syscall.SIGTERM) }
 
-// Wait waits until the process has ended, and returns its exit status.
+// Wait waits until the process has ended and returns its exit status. The test fails if
+// that takes longer than timeout.
 func (p *Process) Wait(t testing.TB, timeout time.Duration) int {
 	t.Helper()
 	select {
@@ -93,13 +94,13 @@
 	}
 }
 
-// Log returns the last part of what the process wrote to its log.
+// Log returns the end of the process's log.
 func (p *Process) Log() string { return p.log.String() }
 
-// tailBytes is how much of a log is kept.
+// tailBytes is the minimum number of recent bytes kept of a longer log.
 const tailBytes = 64 << 10
 
-// tail keeps the end of what is written to it.
+// tail is an io.Writer that keeps the end of what is written to it.
 type tail struct {
 	mu  sync.Mutex
 	buf []byte
@@ -116,15 +117,16 @@
 	return len(b), nil
 }
 
-// String returns what was kept.
+// String returns the kept bytes.
 func (t *tail) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return string(t.buf)
 }
 
-// waitUp waits until a started process answers operators. A signal that comes
-// before its program has begun to run ends it as if it were killed.
+// waitUp waits until a started process answers on its admin address. A SIGTERM that
+// arrives before the program has installed its signal handler kills it instead of causing
+// a planned stop.
 func waitUp(t testing.TB, name, admin string) {
 	t.Helper()
 	Eventually(t, name+" is up", func() bool {
--- a/internal/proof/burdockprograms/stream.go
+++ b/internal/proof/burdockprograms/stream.go
@@ -5,29 +5,30 @@
 	"strings"
 )
 
-// Stream is what a body of server-sent events holds.
+// Stream is the content of a body of server-sent events.
 type Stream struct {
 	Text string
-	// Done is set when the end mark came.
+	// Done is true if the final [DONE] event was received.
 	Done bool
-	// Problem is the code of an error event.
+	// Problem is the code of an error event, or "malformed event"; empty if neither
+	// was received.
 	Problem string
 }
 
-// ReadStream reads the events of a body.
+// ReadStream parses the events of a body.
 func ReadStream(body string) Stream {
 	var s Stream
 	var text strings.Builder
 	for line := range strings.SplitSeq(body, "\n") {
 		if data, ok := strings.CutPrefix(line, "data: "); ok {
-			s.take(data, &text)
+			s.addEvent(data, &text)
 		}
 	}
 	s.Text = text.String()
 	return s
 }
 
-func (s *Stream) take(data string, text *strings.Builder) {
+func (s *Stream) addEvent(data string, text *strings.Builder) {
 	if data == "[DONE]" {
 		s.Done = true
 		return
@@ -48,7 +49,8 @@
 	}
 }
 
-// WholeStream reports whether an answer is the whole stream for a prompt.
+// WholeStream reports whether the answer is the complete stream for a Chat call with the
+// same prompt and tokens.
 func (a Answer) WholeStream(prompt string, tokens int) bool {
 	s := ReadStream(a.Body)
 	return a.Err == nil && a.Status == 200 && s.Done && s.Problem == "" && s.Text == ChatWords(prompt, tokens)
