--- a/internal/proof/burdockauthority/authority.go
+++ b/internal/proof/burdockauthority/authority.go
@@ -1,4 +1,4 @@
-// Package burdockauthority makes certificates for tests of mutual TLS.
+// Package burdockauthority creates certificates for tests of mutual TLS.
 package burdockauthority
 
 import (
@@ -12,19 +12,19 @@
 	"time"
 )
 
-// Authority signs certificates.
+// Authority is a certificate authority.
 type Authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-// Pair is a certificate and its key in PEM.
+// Pair is a certificate and its private key, both in PEM.
 type Pair struct {
 	Cert string
 	Key  string
 }
 
-// New returns an authority of its own.
+// New returns a new authority with a self-signed certificate.
 func New(t testing.TB) *Authority {
 	t.Helper()
 	key, template := newKey(t), newTemplate()
@@ -40,10 +40,10 @@
 	return &Authority{cert: cert, key: key}
 }
 
-// PEM returns the authority's own certificate.
-func (a *Authority) PEM() string { return text("CERTIFICATE", a.cert.Raw) }
+// PEM returns the authority's certificate in PEM.
+func (a *Authority) PEM() string { return encodePEM("CERTIFICATE", a.cert.Raw) }
 
-// Issue returns a new pair that the authority signed.
+// Issue returns a new key pair whose certificate the authority has signed.
 func (a *Authority) Issue(t testing.TB) Pair {
 	t.Helper()
 	key := newKey(t)
@@ -55,10 +55,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Pair{Cert: text("CERTIFICATE", der), Key: text("PRIVATE KEY", keyDER)}
+	return Pair{Cert: encodePEM("CERTIFICATE", der), Key: encodePEM("PRIVATE KEY", keyDER)}
 }
 
-func text(kind string, der []byte) string {
+func encodePEM(kind string, der []byte) string {
 	return string(pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}))
 }
 
