--- a/internal/proof/burdockpromise/answer_test.go
+++ b/internal/proof/burdockpromise/answer_test.go
@@ -1,5 +1,5 @@
-// Package burdockpromise brings about the failures that the promises are made
-// for, on the built programs as separate processes. docs/PROOFS.md lists them.
+// Package burdockpromise tests the delivery guarantees under failures, with the built
+// programs as separate processes. docs/PROOFS.md lists the guarantees.
 package burdockpromise
 
 import (
@@ -21,28 +21,28 @@
 	os.Exit(status)
 }
 
-// sending is a call under way.
-type sending struct {
+// pendingCall is a call whose answer has not arrived yet.
+type pendingCall struct {
 	fleet  *burdockprograms.Fleet
 	entry  *burdockprograms.Entry
 	call   burdockprograms.Call
 	answer chan burdockprograms.Answer
 }
 
-func (s *sending) run(ctx context.Context) { s.answer <- s.fleet.Send(ctx, s.entry, s.call) }
+func (s *pendingCall) run(ctx context.Context) { s.answer <- s.fleet.Send(ctx, s.entry, s.call) }
 
-// send sends a call and returns when its upstream has begun to run it.
-func send(ctx context.Context, t *testing.T, f *burdockprograms.Fleet, call burdockprograms.Call) *sending {
+// send sends a call and returns once an upstream has started to run it.
+func send(ctx context.Context, t *testing.T, f *burdockprograms.Fleet, call burdockprograms.Call) *pendingCall {
 	t.Helper()
-	before := started(f)
-	s := &sending{fleet: f, entry: f.Entries[0], call: call, answer: make(chan burdockprograms.Answer, 1)}
+	before := startedRuns(f)
+	s := &pendingCall{fleet: f, entry: f.Entries[0], call: call, answer: make(chan burdockprograms.Answer, 1)}
 	go s.run(ctx)
-	burdockprograms.Eventually(t, "the request runs", func() bool { return started(f) > before })
+	burdockprograms.Eventually(t, "the request is running", func() bool { return startedRuns(f) > before })
 	return s
 }
 
-// started returns how many runs all upstreams have begun.
-func started(f *burdockprograms.Fleet) int {
+// startedRuns returns the number of runs that all upstreams have started.
+func startedRuns(f *burdockprograms.Fleet) int {
 	total := 0
 	for _, a := range f.Agents {
 		for _, n := range a.Upstream.Runs().Started {
@@ -52,19 +52,19 @@
 	return total
 }
 
-// running returns the agent whose upstream runs something.
-func running(t *testing.T, f *burdockprograms.Fleet) *burdockprograms.Agent {
+// runningAgent returns the first agent whose upstream is running a request.
+func runningAgent(t *testing.T, f *burdockprograms.Fleet) *burdockprograms.Agent {
 	t.Helper()
 	for _, a := range f.Agents {
 		if a.Upstream.InFlight() > 0 {
 			return a
 		}
 	}
-	t.Fatal("no upstream runs anything")
+	t.Fatal("no upstream is running a request")
 	return nil
 }
 
-// runsOf returns how often an id ran on all upstreams.
+// runsOf returns how many runs of the answer's request all upstreams started.
 func runsOf(f *burdockprograms.Fleet, answer burdockprograms.Answer) int {
 	id := burdockid.Request(answer.Header.Get("Burdock-Request-Id"))
 	total := 0
@@ -76,19 +76,18 @@
 
 const (
 	slowStep = 20 * time.Millisecond
-	// longAnswer takes about three seconds at the slow step.
+	// longAnswer is a number of tokens that takes about 3 s at slowStep.
 	longAnswer = 150
 )
 
-// The caller reads a long stream and gets every byte of it, once.
-// Half way the connection between entry and agent goes silent for good, and
-// is not closed; new connections work. Without a deadline on silence the
-// caller would wait for ever; without an offset it would lose or repeat bytes.
+// The connection between entry and agent stops delivering data in the middle of a stream
+// and is not closed; new connections work. The caller must receive every byte once. Without
+// an idle timeout it would wait forever; without an offset it would lose or repeat bytes.
 func TestSilentConnectionMidStream(t *testing.T) {
 	f := burdockprograms.Start(t, burdockprograms.Config{Models: 2, Entries: 1, Slots: 4, Step: slowStep, Links: true})
 	const prompt = "silent mid stream"
 	s := send(context.Background(), t, f, burdockprograms.Chat(prompt, longAnswer, true))
-	running(t, f).Link.Set(t, burdockstandin.LinkSilent)
+	runningAgent(t, f).Link.Set(t, burdockstandin.LinkSilent)
 	got := <-s.answer
 	if !got.WholeStream(prompt, longAnswer) {
 		t.Errorf("got status %d err %v stream %+v, want the whole answer", got.Status, got.Err, burdockprograms.ReadStream(got.Body))
@@ -98,12 +97,12 @@
 	}
 }
 
-// The same with the connections closed instead of silent.
+// Like TestSilentConnectionMidStream, but the connections are closed.
 func TestConnectionCutMidStream(t *testing.T) {
 	f := burdockprograms.Start(t, burdockprograms.Config{Models: 2, Entries: 1, Slots: 4, Step: slowStep, Links: true})
 	const prompt = "cut mid stream"
 	s := send(context.Background(), t, f, burdockprograms.Chat(prompt, longAnswer, true))
-	running(t, f).Link.Set(t, burdockstandin.LinkCut)
+	runningAgent(t, f).Link.Set(t, burdockstandin.LinkCut)
 	got := <-s.answer
 	if !got.WholeStream(prompt, longAnswer) {
 		t.Errorf("got status %d err %v stream %+v, want the whole answer", got.Status, got.Err, burdockprograms.ReadStream(got.Body))
@@ -113,10 +112,9 @@
 	}
 }
 
-// Callers are answered although every kept-alive connection to every agent has
-// gone silent since the last request. The first request finds one silent, and
-// the agent, asked on a new connection, says that it never had the request, so
-// it may be offered again. None runs twice.
+// All idle connections to all agents stop delivering data between two requests. The entry
+// asks the agent on a new connection, learns that the request never arrived, and offers it
+// again. Every caller is answered and no request runs twice.
 func TestSilentIdleConnections(t *testing.T) {
 	f := burdockprograms.Start(t, burdockprograms.Config{Models: 2, Entries: 1, Slots: 4, Step: time.Millisecond, Links: true})
 	const prompt, tokens = "idle", 5
@@ -137,10 +135,9 @@
 	}
 }
 
-// The caller of a stream is told that it was cut, and the caller of a whole
-// answer that the outcome is unknown; neither is told "not run", and neither
-// request runs again. The agent is killed while its engine runs both, so
-// nobody is left who knows how far they came.
+// The agent is killed while its engine runs a streamed and an unstreamed request. The
+// stream ends with a cut, the other request with an unknown outcome. Neither may be reported
+// as "not run", and neither may run again.
 func TestAgentKilledWhileRunning(t *testing.T) {
 	f := burdockprograms.Start(t, burdockprograms.Config{Models: 1, Entries: 1, Slots: 4, Step: slowStep})
 	stream := send(context.Background(), t, f, burdockprograms.Chat("killed stream", longAnswer, true))
@@ -160,14 +157,13 @@
 	}
 }
 
-// The caller gets the whole answer although the agent is frozen for three
-// seconds in the middle of it. The entry finds the silence and asks again
-// until the agent wakes.
+// The agent is frozen for 3 s in the middle of an answer. The entry detects the silence
+// and retries until the agent resumes, and the caller gets the whole answer.
 func TestAgentFrozenAndWoken(t *testing.T) {
 	f := burdockprograms.Start(t, burdockprograms.Config{Models: 2, Entries: 1, Slots: 4, Step: slowStep})
 	const prompt = "frozen"
 	s := send(context.Background(), t, f, burdockprograms.Chat(prompt, longAnswer, true))
-	a := running(t, f)
+	a := runningAgent(t, f)
 	a.Freeze()
 	time.Sleep(3 * time.Second)
 	a.Thaw()
@@ -180,13 +176,13 @@
 	}
 }
 
-// The same for seven seconds, in which more than one connection on which the
-// entry asks goes silent as well.
+// Like TestAgentFrozenAndWoken, but for 7 s, in which more than one of the entry's retry
+// connections times out as well.
 func TestAgentFrozenForLong(t *testing.T) {
 	f := burdockprograms.Start(t, burdockprograms.Config{Models: 2, Entries: 1, Slots: 4, Step: slowStep})
 	const prompt = "frozen for long"
 	s := send(context.Background(), t, f, burdockprograms.Chat(prompt, longAnswer, true))
-	a := running(t, f)
+	a := runningAgent(t, f)
 	a.Freeze()
 	time.Sleep(7 * time.Second)
 	a.Thaw()
@@ -196,8 +192,8 @@
 	}
 }
 
-// The caller of a stream is told that it was cut. The engine dies under it,
-// and its end of the connection is closed as if the answer were over.
+// The engine is killed in the middle of a stream, and its connection is closed as if the
+// answer were complete. The caller must be told that the answer was cut.
 func TestEngineKilledMidStream(t *testing.T) {
 	f := burdockprograms.Start(t, burdockprograms.Config{Models: 1, Entries: 1, Slots: 4, Step: slowStep})
 	s := send(context.Background(), t, f, burdockprograms.Chat("engine dies", longAnswer, true))
@@ -208,9 +204,8 @@
 	}
 }
 
-// The caller of a stream is told that it was cut. The engine gives up in the
-// middle and ends its answer in good order, but for the end mark; to HTTP the
-// answer looks whole.
+// The engine stops in the middle of an answer and ends the HTTP response properly, but
+// without the end mark of the stream. The caller must be told that the answer was cut.
 func TestEngineEndsEarly(t *testing.T) {
 	f := burdockprograms.Start(t, burdockprograms.Config{Models: 1, Entries: 1, Slots: 4, Step: time.Millisecond})
 	got := f.Send(context.Background(), f.Entries[0], burdockprograms.Chat("half "+burdockfakeengine.EndsEarly, 20, true))
@@ -219,14 +214,13 @@
 	}
 }
 
-// The caller is told that the outcome is unknown, and nothing runs twice. The
-// agent is killed while its engine runs the request, and a new process stands
-// in its place before the entry asks again. The new one never had the request,
-// but that doesn't make it "not run".
+// The agent is killed while its engine runs a request, and a new process takes its place
+// before the entry asks again. The new process never received the request, but that doesn't
+// prove "not run": the outcome is unknown, and nothing may run twice.
 func TestAgentReplacedWhileRunning(t *testing.T) {
 	f := burdockprograms.Start(t, burdockprograms.Config{Models: 2, Entries: 1, Slots: 4, Step: slowStep, Links: true})
 	s := send(context.Background(), t, f, burdockprograms.Chat("replaced", longAnswer, false))
-	a := running(t, f)
+	a := runningAgent(t, f)
 	a.Kill()
 	f.StartAgent(t, a)
 	got := <-s.answer
@@ -238,9 +232,8 @@
 	}
 }
 
-// A caller that goes away frees its slot of the engine, whether it is read
-// from or still waits for the first byte. Otherwise the engine would spend its
-// steps on answers that nobody reads.
+// A caller that disconnects frees its engine slot, both in the middle of a stream and
+// before the first byte. Otherwise the engine spends steps on answers that nobody reads.
 func TestCallerGoneFreesTheSlot(t *testing.T) {
 	f := burdockprograms.Start(t, burdockprograms.Config{Models: 1, Entries: 1, Slots: 4, Step: slowStep})
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/proof/burdockpromise/data_centre_test.go
+++ b/internal/proof/burdockpromise/data_centre_test.go
@@ -13,22 +13,21 @@
 
 const (
 	centreModels  = 6 // two in each data centre
-	centreCentres = 3
+	centreCount   = 3
 	centreCallers = 9
 	centreTokens  = 20
-	centreBefore  = 4 * time.Second
-	centreLost    = 4 * time.Second
-	// centreProbe is how often one urgent request is sent to measure how it is
-	// answered.
+	centreWarmUp  = 4 * time.Second
+	centreOutage  = 4 * time.Second
+	// centreProbe is the pause between two urgent requests that measure latency.
 	centreProbe = 50 * time.Millisecond
-	// usualFactor is how much slower than before an urgent answer may be to
-	// count as answered as before.
-	usualFactor = 2
-	// steadyProbes in a row must be answered so.
-	steadyProbes = 10
+	// baselineFactor times the baseline is the highest latency of an urgent request
+	// that counts as recovered.
+	baselineFactor = 2
+	// recoveryProbes is the number of consecutive probes that must meet it.
+	recoveryProbes = 10
 )
 
-// urgentProbe is one urgent request and how it was answered.
+// urgentProbe is the result of one urgent request.
 type urgentProbe struct {
 	at    time.Time
 	took  time.Duration
@@ -73,8 +72,8 @@
 	p.done.Wait()
 }
 
-// usual returns the median time of the probes before an instant.
-func (p *urgentProbes) usual(before time.Time) time.Duration {
+// baseline returns the median latency of the probes before an instant.
+func (p *urgentProbes) baseline(before time.Time) time.Duration {
 	var took []time.Duration
 	for _, probe := range p.all {
 		if probe.at.Before(before) {
@@ -85,35 +84,35 @@
 	return took[len(took)/2]
 }
 
-// steadyAfter returns how long after an instant the first of a row of probes
-// was sent that were all answered as before, and whether there was one.
-func (p *urgentProbes) steadyAfter(at time.Time, usual time.Duration) (time.Duration, bool) {
-	row, since := 0, time.Time{}
+// recoveryAfter returns the time from an instant to the first of recoveryProbes
+// consecutive probes with latencies near the baseline, and whether there were such.
+func (p *urgentProbes) recoveryAfter(at time.Time, baseline time.Duration) (time.Duration, bool) {
+	consecutive, since := 0, time.Time{}
 	for _, probe := range p.all {
 		switch {
 		case probe.at.Before(at):
-		case !probe.whole || probe.took > usualFactor*usual:
-			row = 0
+		case !probe.whole || probe.took > baselineFactor*baseline:
+			consecutive = 0
 		default:
-			if row == 0 {
+			if consecutive == 0 {
 				since = probe.at
 			}
-			row++
+			consecutive++
 		}
-		if row == steadyProbes {
+		if consecutive == recoveryProbes {
 			return since.Sub(at), true
 		}
 	}
 	return 0, false
 }
 
-// endings counts how requests ended.
-type endings struct{ whole, notRun, unknown int }
+// outcomes counts requests by outcome.
+type outcomes struct{ whole, notRun, unknown int }
 
-// checkEndings compares each ending with what the engines ran: a whole answer
-// of one run, "not run" of none, and nothing of more than one. Each run
-// belongs to a caller that got one of these.
-func checkEndings(t *testing.T, f *burdockprograms.Fleet, sent []burdockprograms.Sent) endings {
+// checkOutcomes compares each outcome with the runs that the engines counted: one for
+// a whole answer, none for "not run", at most one for an unknown outcome. Each run must
+// belong to one of the requests.
+func checkOutcomes(t *testing.T, f *burdockprograms.Fleet, sent []burdockprograms.Sent) outcomes {
 	t.Helper()
 	runs := map[burdockid.Request]int{}
 	for _, a := range f.Agents {
@@ -121,14 +120,14 @@
 			runs[id] += n
 		}
 	}
-	var e endings
+	var e outcomes
 	for _, s := range sent {
 		id := burdockid.Request(s.Answer.Header.Get("Burdock-Request-Id"))
 		n := runs[id]
 		delete(runs, id)
 		switch {
 		case id == "":
-			t.Errorf("%s: status %d err %v without an id, want an answer or an error", s.Prompt, s.Answer.Status, s.Answer.Err)
+			t.Errorf("%s: status %d err %v without a request id, want an answer or an error", s.Prompt, s.Answer.Status, s.Answer.Err)
 		case s.Answer.WholeStream(s.Prompt, s.Tokens):
 			e.whole++
 			if n != 1 {
@@ -147,13 +146,13 @@
 		}
 	}
 	if len(runs) != 0 {
-		t.Errorf("runs of requests that nobody sent: got %d, want none", len(runs))
+		t.Errorf("runs without a request: got %d, want none", len(runs))
 	}
 	return e
 }
 
-// accountsOf returns an entry's own accounts.
-func accountsOf(e *burdockprograms.Entry) map[string]int {
+// outcomeCounts returns the entry's request counts by outcome.
+func outcomeCounts(e *burdockprograms.Entry) map[string]int {
 	var dump struct {
 		Entry struct{ Accounts map[string]int }
 	}
@@ -161,50 +160,49 @@
 	return dump.Entry.Accounts
 }
 
-// Each caller gets one whole answer or one true error while all agents of a
-// data centre are killed at the same moment under load, and come back at the
-// same moment. What ran there has an unknown outcome, what was on its way is
-// offered elsewhere, and the entry's accounts agree with the engines' counts.
-// The engines live on, since nobody else could tell what ran.
+// All agents of a data centre are killed at the same moment under load and restarted at
+// the same moment. Each caller must get one whole answer or one correct error: requests that
+// ran there have an unknown outcome, those not yet admitted are offered elsewhere. The
+// entry's counts must match the engines'. The engines keep running, to count the runs.
 func TestDataCentreLostAndBack(t *testing.T) {
 	f := burdockprograms.Start(t, burdockprograms.Config{
 		Models: centreModels, Entries: 1, Slots: 4, Step: 5 * time.Millisecond,
 	})
 	load := f.StartLoad(centreCallers, burdockprograms.StreamedChats(centreTokens))
 	probes := startProbes(f)
-	time.Sleep(centreBefore)
+	time.Sleep(centreWarmUp)
 	lost := time.Now()
-	for i := 0; i < len(f.Agents); i += centreCentres {
+	for i := 0; i < len(f.Agents); i += centreCount {
 		f.Agents[i].Kill()
 	}
-	time.Sleep(centreLost)
+	time.Sleep(centreOutage)
 	back := time.Now()
-	for i := 0; i < len(f.Agents); i += centreCentres {
+	for i := 0; i < len(f.Agents); i += centreCount {
 		f.StartAgent(t, f.Agents[i])
 	}
 	f.WaitReady(t)
-	time.Sleep(centreLost)
+	time.Sleep(centreOutage)
 	sent := load.Stop()
 	probes.end()
 	sent = append(sent, probes.sent...)
-	e := checkEndings(t, f, sent)
+	e := checkOutcomes(t, f, sent)
 	if e.whole == 0 || e.unknown+e.notRun > len(sent)/2 {
 		t.Errorf("got %+v of %d, want most of them whole", e, len(sent))
 	}
-	accounts := accountsOf(f.Entries[0])
-	if got, want := accounts["answered"], e.whole; got != want {
-		t.Errorf("answered by the entry's accounts: got %d, want %d (%v)", got, want, accounts)
+	counts := outcomeCounts(f.Entries[0])
+	if got, want := counts["answered"], e.whole; got != want {
+		t.Errorf("answered, as counted by the entry: got %d, want %d (%v)", got, want, counts)
 	}
 	total := 0
-	for _, n := range accounts {
+	for _, n := range counts {
 		total += n
 	}
 	if got, want := total, len(sent); got != want {
-		t.Errorf("requests in the entry's accounts: got %d, want %d (%v)", got, want, accounts)
+		t.Errorf("requests counted by the entry: got %d, want %d (%v)", got, want, counts)
 	}
-	usual := probes.usual(lost)
-	afterLoss, steady := probes.steadyAfter(lost, usual)
-	afterReturn, steadyAgain := probes.steadyAfter(back, usual)
-	t.Logf("requests %d, ended %+v; urgent work usually answered in %v, as before %v after the loss (%v), %v after the return (%v)",
-		len(sent), e, usual, afterLoss, steady, afterReturn, steadyAgain)
+	baseline := probes.baseline(lost)
+	afterLoss, recovered := probes.recoveryAfter(lost, baseline)
+	afterReturn, recoveredAgain := probes.recoveryAfter(back, baseline)
+	t.Logf("requests %d, ended %+v; baseline latency of urgent requests %v, recovered %v after the loss (%v), %v after the return (%v)",
+		len(sent), e, baseline, afterLoss, recovered, afterReturn, recoveredAgain)
 }
--- a/internal/proof/burdockpromise/key_test.go
+++ b/internal/proof/burdockpromise/key_test.go
@@ -19,24 +19,24 @@
 	"connectrpc.com/connect"
 )
 
-// keyedChat is a letter that must not be written twice.
+// keyedChat returns a chat request with an idempotency key.
 func keyedChat(key, prompt string, tokens int, stream bool) burdockprograms.Call {
 	call := burdockprograms.Chat(prompt, tokens, stream)
 	call.Header = map[string]string{"Idempotency-Key": key}
 	return call
 }
 
-func keyFleet(t *testing.T, step time.Duration) *burdockprograms.Fleet {
+func startKeyFleet(t *testing.T, step time.Duration) *burdockprograms.Fleet {
 	t.Helper()
 	f := burdockprograms.Start(t, burdockprograms.Config{Models: 3, Entries: 2, Slots: 8, Step: step})
-	waitForHomes(t, f)
+	waitForOwners(t, f)
 	return f
 }
 
-// waitForHomes waits until every slot has a home that serves it.
-func waitForHomes(t *testing.T, f *burdockprograms.Fleet) {
+// waitForOwners waits until the owner of every key slot answers.
+func waitForOwners(t *testing.T, f *burdockprograms.Fleet) {
 	t.Helper()
-	burdockprograms.Eventually(t, "every key has a home", func() bool {
+	burdockprograms.Eventually(t, "every key has an owner", func() bool {
 		for i := range 48 {
 			call := keyedChat(fmt.Sprintf("warm %d %d", i, time.Now().UnixNano()), "warm", 1, false)
 			if !f.Send(context.Background(), f.Entries[i%len(f.Entries)], call).Whole() {
@@ -47,12 +47,11 @@
 	})
 }
 
-// A caller that asks again with the same key gets the first answer, byte by
-// byte, through either entry, while the first run is under way and afterwards.
-// There is one run.
+// A caller that repeats a request with the same key gets the first answer byte for byte,
+// through either entry, during the first run and after it. There is one run.
 func TestKeyRepeatedGetsFirstAnswer(t *testing.T) {
-	f := keyFleet(t, slowStep)
-	before := started(f)
+	f := startKeyFleet(t, slowStep)
+	before := startedRuns(f)
 	const prompt, tokens = "letter to a composer", 50
 	call := keyedChat("letter-1", prompt, tokens, true)
 	first := send(context.Background(), t, f, call)
@@ -64,52 +63,51 @@
 			t.Errorf("%s: got status %d err %v body %q, want the first answer", name, answer.Status, answer.Err, answer.Body)
 		}
 	}
-	if got, want := started(f)-before, 1; got != want {
+	if got, want := startedRuns(f)-before, 1; got != want {
 		t.Errorf("runs: got %d, want %d", got, want)
 	}
 	other := keyedChat("letter-1", "another letter", tokens, true)
 	if got := f.Send(context.Background(), f.Entries[0], other); got.Status != http.StatusUnprocessableEntity || !got.NotRun() {
-		t.Errorf("the key with another request: got %d not run %v, want 422 not run", got.Status, got.NotRun())
+		t.Errorf("the same key with another request: got %d not run %v, want 422 not run", got.Status, got.NotRun())
 	}
 }
 
-// The entry dies in the middle of the answer. The caller asks again through
-// the other entry and gets all of it, from the one run that went on.
+// The entry is killed in the middle of the answer. The caller repeats the request through
+// the other entry and gets the whole answer of the one run, which went on.
 func TestKeyRepeatedAfterEntryDied(t *testing.T) {
-	f := keyFleet(t, slowStep)
-	before := started(f)
+	f := startKeyFleet(t, slowStep)
+	before := startedRuns(f)
 	const prompt, tokens = "letter through a dying entry", 100
 	call := keyedChat("letter-2", prompt, tokens, true)
 	first := send(context.Background(), t, f, call)
 	f.Entries[0].Kill()
 	if got := <-first.answer; got.WholeStream(prompt, tokens) {
-		t.Fatal("the first answer came whole; the entry was killed too late")
+		t.Fatal("the first answer was complete; the entry was killed too late")
 	}
 	if got := f.Send(context.Background(), f.Entries[1], call); !got.WholeStream(prompt, tokens) {
 		t.Errorf("repeat: got status %d err %v body %q, want the whole answer", got.Status, got.Err, got.Body)
 	}
-	if got, want := started(f)-before, 1; got != want {
+	if got, want := startedRuns(f)-before, 1; got != want {
 		t.Errorf("runs: got %d, want %d", got, want)
 	}
 }
 
-// The home of the key dies while it runs the request, and is started anew
-// without its memory. The caller asks again and again, through both entries,
-// and is told that the outcome is unknown; never is it run a second time.
+// The owner of the key is killed while it runs the request, and restarts without its
+// memory. Repeats through both entries must report an unknown outcome and never run again.
 func TestKeyRepeatedAfterHomeDied(t *testing.T) {
-	f := keyFleet(t, slowStep)
-	before := started(f)
+	f := startKeyFleet(t, slowStep)
+	before := startedRuns(f)
 	call := keyedChat("letter-3", "letter at a dying home", longAnswer, false)
 	first := send(context.Background(), t, f, call)
-	home := running(t, f)
-	home.Kill()
+	owner := runningAgent(t, f)
+	owner.Kill()
 	if got := <-first.answer; got.NotRun() || got.Whole() {
 		t.Errorf("first: got status %d not run %v, want an unknown outcome", got.Status, got.NotRun())
 	}
-	f.StartAgent(t, home)
+	f.StartAgent(t, owner)
 	f.WaitReady(t)
 	var last burdockprograms.Answer
-	burdockprograms.Eventually(t, "the new home answers for the key", func() bool {
+	burdockprograms.Eventually(t, "the new owner answers for the key", func() bool {
 		last = f.Send(context.Background(), f.Entries[1], call)
 		return last.Status == http.StatusBadGateway
 	})
@@ -121,24 +119,23 @@
 			t.Errorf("repeat %d: got status 200, want no second run", i)
 		}
 	}
-	if got, want := started(f)-before, 1; got != want {
+	if got, want := startedRuns(f)-before, 1; got != want {
 		t.Errorf("runs: got %d, want %d", got, want)
 	}
 }
 
-// The home is frozen while it runs the request, and the caller's connection is
-// given up. The caller asks again while it is frozen, and is told truly that
-// this did not run, or that nobody knows; after it wakes the caller gets the
-// one answer.
+// The owner of the key is frozen while it runs the request, and the caller disconnects. A
+// repeat during the freeze fails as not run or with an unknown outcome; after the owner
+// resumes, the caller gets the answer of the one run.
 func TestKeyRepeatedWhileHomeFrozen(t *testing.T) {
-	f := keyFleet(t, slowStep)
-	before := started(f)
+	f := startKeyFleet(t, slowStep)
+	before := startedRuns(f)
 	const prompt, tokens = "letter at a frozen home", 100
 	call := keyedChat("letter-4", prompt, tokens, true)
 	ctx, cancel := context.WithCancel(context.Background())
 	first := send(ctx, t, f, call)
-	home := running(t, f)
-	home.Freeze()
+	owner := runningAgent(t, f)
+	owner.Freeze()
 	cancel()
 	<-first.answer
 	short := call
@@ -146,40 +143,40 @@
 	if got := f.Send(context.Background(), f.Entries[1], short); got.Status == http.StatusOK {
 		t.Errorf("while frozen: got status 200, want none")
 	}
-	home.Thaw()
+	owner.Thaw()
 	var last burdockprograms.Answer
-	burdockprograms.Eventually(t, "the woken home answers for the key", func() bool {
+	burdockprograms.Eventually(t, "the resumed owner answers for the key", func() bool {
 		last = f.Send(context.Background(), f.Entries[1], call)
 		return last.Status == http.StatusOK
 	})
 	if !last.WholeStream(prompt, tokens) {
-		t.Errorf("after waking: got err %v body %q, want the whole answer", last.Err, last.Body)
+		t.Errorf("after resuming: got err %v body %q, want the whole answer", last.Err, last.Body)
 	}
-	if got, want := started(f)-before, 1; got != want {
+	if got, want := startedRuns(f)-before, 1; got != want {
 		t.Errorf("runs: got %d, want %d", got, want)
 	}
 }
 
-// The home is stopped as planned after it ran the request. The caller asks
-// again and is told that it ran; new keys run at once, at the home that took
-// the memory over, so nobody waits out a repeat window.
+// The owner of the key is stopped gracefully after it ran the request. A repeat is told
+// that the request ran. New keys run at once at the owner that took over the records, so no
+// caller waits for the end of a repeat window.
 func TestKeyRepeatedAfterHomeStopped(t *testing.T) {
-	f := keyFleet(t, slowStep)
+	f := startKeyFleet(t, slowStep)
 	call := keyedChat("letter-5", "letter before a stop", 30, false)
 	first := send(context.Background(), t, f, call)
-	home := running(t, f)
+	owner := runningAgent(t, f)
 	if got := <-first.answer; !got.Whole() {
 		t.Fatalf("first: got status %d err %v, want 200", got.Status, got.Err)
 	}
-	before := started(f)
-	home.Terminate()
-	if got, want := home.Wait(t, stopTimeout), 0; got != want {
+	before := startedRuns(f)
+	owner.Terminate()
+	if got, want := owner.Wait(t, stopTimeout), 0; got != want {
 		t.Errorf("exit status: got %d, want %d", got, want)
 	}
 	if got := f.Send(context.Background(), f.Entries[1], call); got.Status != http.StatusConflict {
 		t.Errorf("repeat: got status %d body %q, want 409", got.Status, got.Body)
 	}
-	if got, want := started(f)-before, 0; got != want {
+	if got, want := startedRuns(f)-before, 0; got != want {
 		t.Errorf("runs after the stop: got %d, want %d", got, want)
 	}
 	for i := range 24 {
@@ -190,36 +187,35 @@
 	}
 }
 
-// A key runs once though its home was frozen past the point where others took
-// its keys, and wakes believing that it is the home. Operators took the frozen
-// home out of the fleet, since its VM seemed gone, and a new home answers for
-// its keys. The first thing the old one reads on waking is an entry's offer of
-// such a key. It must refuse before it has heard from anybody.
+// The owner of a key is frozen, operators remove it from the fleet as its VM seems gone,
+// and a new owner takes over its slots. When the old process resumes, it first reads an
+// entry's offer of such a key and still believes to be the owner. It must refuse before it
+// has contacted anyone; otherwise the key runs twice.
 func TestWokenHomeGrantsNothing(t *testing.T) {
-	f := keyFleet(t, time.Millisecond)
+	f := startKeyFleet(t, time.Millisecond)
 	used, fresh := twoKeysOfOneSlot()
-	old := homeOf(t, f, used)
+	old := ownerOf(t, f, used)
 	old.Freeze()
 	f.Remove(t, old)
-	burdockprograms.Eventually(t, "a new home answers for the slot", func() bool {
+	burdockprograms.Eventually(t, "a new owner answers for the slot", func() bool {
 		got := f.Send(context.Background(), f.Entries[0], keyedChat(used, "is there a home?", 1, false))
-		// It can't know what ran before. The connection to the frozen home that is
-		// given up gives the same status, long before there is a new home.
+		// The new owner can't know what ran before. The text is checked too, since a timeout
+		// towards the frozen owner gives the same status long before there is a new one.
 		return got.Status == http.StatusBadGateway && strings.Contains(got.Body, "before its present home took over")
 	})
 	o := newOffer(old, fresh)
 	go o.run()
-	time.Sleep(time.Second) // the offer waits in the frozen process's buffers
+	time.Sleep(time.Second) // the offer waits in the socket buffers of the frozen process
 	old.Thaw()
 	if got := <-o.answer; got.GetRefused() == nil {
-		t.Errorf("the woken home: got %v, want a refusal", got)
+		t.Errorf("the resumed owner: got %v, want a refusal", got)
 	}
 	if got, want := old.Upstream.Runs().Started[o.id], 0; got != want {
-		t.Errorf("runs at the woken home: got %d, want %d", got, want)
+		t.Errorf("runs at the resumed owner: got %d, want %d", got, want)
 	}
 }
 
-// twoKeysOfOneSlot returns two keys that have the same home.
+// twoKeysOfOneSlot returns two keys in the same slot, which have the same owner.
 func twoKeysOfOneSlot() (string, string) {
 	const first = "letter-6"
 	slot := burdockledger.SlotOf(burdockledger.KeyOf(burdockprograms.Customer, first))
@@ -231,12 +227,12 @@
 	}
 }
 
-// homeOf returns the agent that is the home of a new key.
-func homeOf(t *testing.T, f *burdockprograms.Fleet, key string) *burdockprograms.Agent {
+// ownerOf returns the agent that owns the slot of a new key.
+func ownerOf(t *testing.T, f *burdockprograms.Fleet, key string) *burdockprograms.Agent {
 	t.Helper()
 	got := f.Send(context.Background(), f.Entries[0], keyedChat(key, "find the home", 1, false))
 	if !got.Whole() {
-		t.Fatalf("find the home: got status %d body %q", got.Status, got.Body)
+		t.Fatalf("find the owner: got status %d body %q", got.Status, got.Body)
 	}
 	for _, a := range f.Agents {
 		if a.Upstream.Runs().Started[burdockid.Request(got.Header.Get("Burdock-Request-Id"))] == 1 {
@@ -247,7 +243,7 @@
 	return nil
 }
 
-// offer is what an entry with an old view would send to an agent.
+// offer is a request as an entry with outdated membership sends it to an agent.
 type offer struct {
 	agent  *burdockprograms.Agent
 	id     burdockid.Request
@@ -259,7 +255,7 @@
 	return &offer{agent: a, id: burdockid.NewRequest(), key: key, answer: make(chan *burdockwire.RunEvent, 1)}
 }
 
-// run passes on the first event, which says whether the offer was admitted.
+// run passes on the first event, which reports whether the offer was admitted.
 func (o *offer) run() {
 	client := burdockwire.NewAgentServiceClient(http.DefaultClient, "http://"+o.agent.Peer)
 	stream, err := client.Run(context.Background(), connect.NewRequest(&burdockwire.RunRequest{
@@ -279,12 +275,11 @@
 	_ = stream.Close()
 }
 
-// An operator takes an upstream out of the fleet that is only silent. Others
-// would take over its keys while it may still run them. The command refuses,
-// says what to do, and changes nothing, until the operator says that the VM is
-// destroyed.
+// An operator removes an upstream from the fleet that is merely silent. Others would take
+// over its keys while it may still run them. The command must refuse, name the flag to use
+// and change nothing, until the operator confirms that the VM is destroyed.
 func TestRemovalOfAHomeIsRefused(t *testing.T) {
-	f := keyFleet(t, time.Millisecond)
+	f := startKeyFleet(t, time.Millisecond)
 	silent := f.Agents[0]
 	silent.Freeze()
 	f.Agents = f.Agents[1:]
@@ -302,18 +297,18 @@
 	f.Operate(t, "fleet", "apply", "-store", f.Store.Address, "-gone", silent.Name, file)
 }
 
-// slowStop is far more than a stop takes while the store is slow or down, and
-// less than it took when an agent's slots went over one after another.
-const slowStop = 60 * time.Second
+// slowStopTimeout is far more than a stop takes while the store is slow or down, and less
+// than it took when an agent handed its slots over one at a time.
+const slowStopTimeout = 60 * time.Second
 
-// An operator stops an agent while the store takes a second for each call. The
-// agent hands its slots over and ends in time; new keys run at the others.
-// Found by a soak (seeds 2 and 3): one slot at a time, a stop took minutes.
+// An agent is stopped while each store call takes 1 s. It must hand over its slots and exit
+// in time, and new keys must run at the others. Handing over one slot at a time took minutes
+// (found by a soak, seeds 2 and 3).
 func TestStopWhileStoreIsSlow(t *testing.T) {
-	f := keyFleet(t, time.Millisecond)
+	f := startKeyFleet(t, time.Millisecond)
 	f.Store.SetFault(t, burdockfault.Setting{DelayMillis: burdockclock.Second})
 	f.Agents[0].Terminate()
-	if got, want := f.Agents[0].Wait(t, slowStop), 0; got != want {
+	if got, want := f.Agents[0].Wait(t, slowStopTimeout), 0; got != want {
 		t.Errorf("exit status: got %d, want %d", got, want)
 	}
 	f.Store.SetFault(t, burdockfault.Setting{})
@@ -325,11 +320,10 @@
 	}
 }
 
-// An operator stops an agent that has just been started again while the store
-// is down: it can neither take up its slots nor hand them over, and ends all
-// the same.
+// An agent is stopped just after a restart while the store is down. It can neither take
+// over its slots nor hand them over, and must exit all the same.
 func TestStopWhileStoreIsDown(t *testing.T) {
-	f := keyFleet(t, time.Millisecond)
+	f := startKeyFleet(t, time.Millisecond)
 	a := f.Agents[0]
 	a.Kill()
 	f.Store.SetFault(t, burdockfault.Setting{Mode: burdockfault.Down})
@@ -338,9 +332,9 @@
 		_, ready := burdockprograms.Digest(a.Admin)
 		return ready
 	})
-	time.Sleep(2 * time.Second) // it tries to take its slots up
+	time.Sleep(2 * time.Second) // the agent tries to take over its slots
 	a.Terminate()
-	if got, want := a.Wait(t, slowStop), 0; got != want {
+	if got, want := a.Wait(t, slowStopTimeout), 0; got != want {
 		t.Errorf("exit status: got %d, want %d", got, want)
 	}
 	f.Store.SetFault(t, burdockfault.Setting{})
--- a/internal/proof/burdockpromise/profile_stop_test.go
+++ b/internal/proof/burdockpromise/profile_stop_test.go
@@ -13,24 +13,24 @@
 
 const (
 	stopStep   = 20 * time.Millisecond
-	stopTokens = 150 // three seconds, so that no slot is free again at once
+	stopTokens = 150 // 3 s, so no slot is free again at once
 	stopSlots  = 2
-	// stopCalls leaves six or more waiting at one of the two agents, more than
-	// what the retry budget lets an entry offer again that has seen no answers.
+	// stopCalls leaves at least six requests queued at one of the two agents, more than
+	// the retry budget allows an entry that has seen no answers.
 	stopCalls = 16
-	// inForce is within what time an edit is in force everywhere.
-	inForce = 5 * time.Second
+	// configDelay is the time after which a configuration change is applied everywhere.
+	configDelay = 5 * time.Second
 )
 
-// stopFleet is a fleet whose profile says what a stop does with queued work.
-func stopFleet(t *testing.T, queued string) *burdockprograms.Fleet {
+// startStopFleet starts a fleet whose profile sets what a stop does with queued requests.
+func startStopFleet(t *testing.T, queued string) *burdockprograms.Fleet {
 	t.Helper()
 	return burdockprograms.Start(t, burdockprograms.Config{
 		Models: 2, Entries: 1, Slots: stopSlots, Step: stopStep, ProfileExtra: fmt.Sprintf("stop.queued = %q\n", queued),
 	})
 }
 
-// queuedAt returns how many requests wait at an agent.
+// queuedAt returns the number of requests queued at an agent.
 func queuedAt(a *burdockprograms.Agent) int {
 	var dump struct {
 		Agent struct {
@@ -47,29 +47,29 @@
 	return n
 }
 
-func prompt(i int) string { return fmt.Sprint("stop ", i) }
+func stopPrompt(i int) string { return fmt.Sprint("stop ", i) }
 
-// sendQueued sends more calls than there are slots, and waits until the
-// agents hold them all.
-func sendQueued(t *testing.T, f *burdockprograms.Fleet) []*sending {
+// sendQueued sends more calls than there are slots and waits until all of them run or
+// are queued.
+func sendQueued(t *testing.T, f *burdockprograms.Fleet) []*pendingCall {
 	t.Helper()
-	calls := make([]*sending, stopCalls)
+	calls := make([]*pendingCall, stopCalls)
 	for i := range calls {
-		calls[i] = &sending{
-			fleet: f, entry: f.Entries[0], call: burdockprograms.Chat(prompt(i), stopTokens, true),
+		calls[i] = &pendingCall{
+			fleet: f, entry: f.Entries[0], call: burdockprograms.Chat(stopPrompt(i), stopTokens, true),
 			answer: make(chan burdockprograms.Answer, 1),
 		}
 		go calls[i].run(context.Background())
 	}
-	burdockprograms.Eventually(t, "slots are taken and the rest waits", func() bool {
+	burdockprograms.Eventually(t, "all slots are taken and the other requests are queued", func() bool {
 		waiting := queuedAt(f.Agents[0]) + queuedAt(f.Agents[1])
-		return started(f) == 2*stopSlots && waiting == stopCalls-2*stopSlots
+		return startedRuns(f) == 2*stopSlots && waiting == stopCalls-2*stopSlots
 	})
 	return calls
 }
 
-// byQueue returns the agent with the longer queue and the other one.
-func byQueue(f *burdockprograms.Fleet) (*burdockprograms.Agent, *burdockprograms.Agent) {
+// byQueueLength returns the agent with the longer queue, then the other one.
+func byQueueLength(f *burdockprograms.Fleet) (*burdockprograms.Agent, *burdockprograms.Agent) {
 	a, b := f.Agents[0], f.Agents[1]
 	if queuedAt(a) < queuedAt(b) {
 		return b, a
@@ -77,43 +77,43 @@
 	return a, b
 }
 
-func wantWhole(t *testing.T, calls []*sending) {
+func checkWholeAnswers(t *testing.T, calls []*pendingCall) {
 	t.Helper()
 	for i, c := range calls {
-		if got := <-c.answer; !got.WholeStream(prompt(i), stopTokens) {
-			t.Errorf("%s: got status %d err %v body %q, want the whole answer", prompt(i), got.Status, got.Err, got.Body)
+		if got := <-c.answer; !got.WholeStream(stopPrompt(i), stopTokens) {
+			t.Errorf("%s: got status %d err %v body %q, want the whole answer", stopPrompt(i), got.Status, got.Err, got.Body)
 		}
 	}
 }
 
-// No caller fails whose request waits at an agent that is stopped, under a
-// profile that refuses queued work. The agent says "not run" at once, the entry
-// places each request at the other agent, and only what ran already runs on.
+// An agent is stopped under a profile that refuses queued requests. It reports "not run"
+// at once, and the entry places each request at the other agent. No caller fails, and only
+// requests already running finish at the leaving agent.
 func TestStopRefusesQueued(t *testing.T) {
-	f := stopFleet(t, "refuse")
+	f := startStopFleet(t, "refuse")
 	calls := sendQueued(t, f)
-	leaving, other := byQueue(f)
+	leaving, other := byQueueLength(f)
 	moved := queuedAt(leaving) + queuedAt(other)
 	leaving.Terminate()
-	burdockprograms.Eventually(t, "all that waits does so at the other agent", func() bool { return queuedAt(other) == moved })
+	burdockprograms.Eventually(t, "all queued requests are at the other agent", func() bool { return queuedAt(other) == moved })
 	if got, want := len(leaving.Upstream.Runs().Started), stopSlots; got != want {
 		t.Errorf("runs at the leaving agent when its queue was empty: got %d, want %d", got, want)
 	}
 	if got, want := leaving.Wait(t, stopTimeout), 0; got != want {
 		t.Errorf("exit status: got %d, want %d", got, want)
 	}
-	wantWhole(t, calls)
+	checkWholeAnswers(t, calls)
 	if got, want := len(leaving.Upstream.Runs().Started), stopSlots; got != want {
 		t.Errorf("runs at the leaving agent: got %d, want %d", got, want)
 	}
 }
 
-// The same under a profile that finishes queued work: each request is run
-// where it waits, and the agent ends only afterwards.
+// An agent is stopped under a profile that finishes queued requests: each runs where it is
+// queued, and the agent exits afterwards.
 func TestStopFinishesQueued(t *testing.T) {
-	f := stopFleet(t, "finish")
+	f := startStopFleet(t, "finish")
 	calls := sendQueued(t, f)
-	leaving, _ := byQueue(f)
+	leaving, _ := byQueueLength(f)
 	want := stopSlots + queuedAt(leaving)
 	leaving.Terminate()
 	if got, want := leaving.Wait(t, stopTimeout), 0; got != want {
@@ -125,13 +125,12 @@
 	if got := leaving.Upstream.Runs().Finished; got != want {
 		t.Errorf("finished at the leaving agent: got %d, want %d", got, want)
 	}
-	wantWhole(t, calls)
+	checkWholeAnswers(t, calls)
 }
 
-// The grace of the profile bounds a stop, whatever still runs. The request was
-// accepted under a longer deadline; operators then shorten grace and deadline
-// and stop the agent. Its caller is told that the answer was cut, and the
-// process is gone soon after the grace.
+// The grace time of the profile bounds a stop even if requests still run. The request was
+// accepted under a longer deadline; then grace and deadline are shortened and the agent is
+// stopped. The answer must be cut, and the process must exit soon after the grace time.
 func TestStopEndsWithTheGrace(t *testing.T) {
 	f := burdockprograms.Start(t, burdockprograms.Config{Models: 1, Entries: 1, Slots: stopSlots, Step: stopStep})
 	const endless, grace, closing = 2000, 5 * time.Second, 20 * time.Second
@@ -142,7 +141,7 @@
 stop.graceMillis = %[1]d
 class = [{ name = "draft", deadlineMillis = %[1]d, maxWaitMillis = %[1]d }]
 `, grace.Milliseconds()))
-	time.Sleep(inForce)
+	time.Sleep(configDelay)
 	began := time.Now()
 	f.Agents[0].Terminate()
 	if got, want := f.Agents[0].Wait(t, stopTimeout), 0; got != want {
--- a/internal/proof/burdockpromise/slow_reader_test.go
+++ b/internal/proof/burdockpromise/slow_reader_test.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	slowTokens     = 60_000 // some 10 MB, beyond what buffers on the way hold
+	slowTokens     = 60_000 // about 10 MB, more than the buffers on the path hold
 	slowPiece      = 64 << 10
 	slowPause      = 30 * time.Millisecond
 	slowReadBuffer = 64 << 10
@@ -28,7 +28,7 @@
 	return b.ReadCloser.Read(p[:min(len(p), slowPiece)])
 }
 
-// slowTransport gives its client's answers slow bodies.
+// slowTransport makes the bodies of its responses slow to read.
 type slowTransport struct{ http.Transport }
 
 // RoundTrip implements http.RoundTripper.
@@ -40,7 +40,7 @@
 	return res, err
 }
 
-// newSlowTransport keeps the buffers on the caller's side small as well.
+// newSlowTransport also limits the receive buffer of its connections.
 func newSlowTransport() *slowTransport {
 	s := &slowTransport{}
 	s.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -64,9 +64,9 @@
 	c.answer <- c.fleet.SendWith(context.Background(), client, c.fleet.Entries[0], burdockprograms.Chat("slow", slowTokens, true))
 }
 
-// Callers that read slowly get their whole answers, although their entry and
-// their agent are both stopped as planned while most of the answers is still
-// on the way: held at the agent, on the connection, and at the entry.
+// Slow readers get their whole answers although their entry and agent are stopped
+// gracefully while most of the data is still buffered at the agent, on the connection and at
+// the entry.
 func TestStopWaitsForSlowReaders(t *testing.T) {
 	f := burdockprograms.Start(t, burdockprograms.Config{Models: 1, Entries: 1, Slots: slowReaders})
 	callers := make([]*slowCaller, slowReaders)
@@ -74,7 +74,7 @@
 		callers[i] = &slowCaller{fleet: f, answer: make(chan burdockprograms.Answer, 1)}
 		go callers[i].run()
 	}
-	burdockprograms.Eventually(t, "the requests run", func() bool { return started(f) == slowReaders })
+	burdockprograms.Eventually(t, "the requests are running", func() bool { return startedRuns(f) == slowReaders })
 	time.Sleep(time.Second)
 	began := time.Now()
 	f.Agents[0].Terminate()
@@ -86,12 +86,12 @@
 	}
 	read := time.Since(began)
 	if read < time.Second {
-		t.Errorf("the callers had read all within %v of the stop, too soon to show anything", read)
+		t.Errorf("the callers finished within %v of the stop, too soon to test it", read)
 	}
 	for name, p := range map[string]*burdockprograms.Process{"agent": f.Agents[0].Process, "entry": f.Entries[0].Process} {
 		if got, want := p.Wait(t, stopTimeout), 0; got != want {
 			t.Errorf("%s: exit status got %d, want %d", name, got, want)
 		}
 	}
-	t.Logf("the callers read on for %v after the stop", read)
+	t.Logf("the callers read for %v after the stop", read)
 }
--- a/internal/proof/burdockpromise/stop_test.go
+++ b/internal/proof/burdockpromise/stop_test.go
@@ -11,10 +11,9 @@
 
 const stopTimeout = 60 * time.Second
 
-// No caller sees a failure while every agent and every entry is stopped and
-// started again in turn, with kept-alive connections and streams under way.
-// A stop that closed idle connections at once would meet requests on their
-// way; one that did not wait would cut streams.
+// No request fails while all agents and entries are restarted in turn, with idle
+// connections and streams open. Closing idle connections at once would break requests
+// already sent on them; not waiting for streams would cut them.
 func TestRollingRestartFailsNoRequest(t *testing.T) {
 	f := burdockprograms.Start(t, burdockprograms.Config{Models: 3, Entries: 2, Slots: 16, Step: 5 * time.Millisecond})
 	const tokens = 60
@@ -37,7 +36,7 @@
 	}
 	sent := load.Stop()
 	if len(sent) == 0 {
-		t.Fatal("the load sent nothing")
+		t.Fatal("the load sent no request")
 	}
 	failed := 0
 	for _, s := range sent {
@@ -49,9 +48,9 @@
 	t.Logf("requests %d, failed %d", len(sent), failed)
 }
 
-// The caller of a long stream gets all of it, though first the agent and then
-// another stream's entry are told to stop at its beginning. The stop has to
-// wait far longer than the moment in which late arrivals are still served.
+// The agent of one long stream and then the entry of another are stopped while the stream
+// begins. The stop must wait for the end of the stream, far longer than the short time in
+// which late arrivals are still served.
 func TestPlannedStopWaitsForLongStreams(t *testing.T) {
 	f := burdockprograms.Start(t, burdockprograms.Config{Models: 2, Entries: 1, Slots: 4, Step: slowStep})
 	const tokens = 500 // ten seconds
@@ -60,7 +59,7 @@
 		s := send(context.Background(), t, f, burdockprograms.Chat(prompt, tokens, true))
 		process := f.Entries[0].Process
 		if target == "agent" {
-			process = running(t, f).Process
+			process = runningAgent(t, f).Process
 		}
 		process.Terminate()
 		if got := <-s.answer; !got.WholeStream(prompt, tokens) {
@@ -72,20 +71,19 @@
 	}
 }
 
-// An agent that is told to stop gets no new work after three seconds, while
-// the membership list goes on showing it as live for thirty. Its callers are
-// answered by the others.
+// A stopping agent gets no new requests 3 s after the stop, although the membership list
+// reports it as live for another 30 s. The other agents serve its callers.
 func TestLeavingAgentGetsNoNewWork(t *testing.T) {
 	f := burdockprograms.Start(t, burdockprograms.Config{Models: 3, Entries: 2, Slots: 16, Step: 5 * time.Millisecond, Lag: 30 * time.Second})
 	load := f.StartLoad(8, burdockprograms.StreamedChats(20))
 	leaving := f.Agents[0]
-	burdockprograms.Eventually(t, "the agent has work", func() bool { return len(leaving.Upstream.Runs().Started) > 10 })
+	burdockprograms.Eventually(t, "the agent runs requests", func() bool { return len(leaving.Upstream.Runs().Started) > 10 })
 	leaving.Terminate()
 	time.Sleep(3 * time.Second)
 	after := len(leaving.Upstream.Runs().Started)
 	time.Sleep(2 * time.Second)
 	if got, want := len(leaving.Upstream.Runs().Started), after; got != want {
-		t.Errorf("runs begun later than 3 s after the stop: got %d, want 0", got-want)
+		t.Errorf("runs started later than 3 s after the stop: got %d, want 0", got-want)
 	}
 	for _, s := range load.Stop() {
 		if !s.Answer.WholeStream(s.Prompt, s.Tokens) {
@@ -94,10 +92,9 @@
 	}
 }
 
-// Whoever is told "not run" can rely on it: the engines' own counts know
-// nothing of those requests, and of each other request exactly one run. The
-// engines are saturated several times over, so most requests are refused, by
-// the queue at once or after a wait.
+// The engines are saturated several times over, so most requests are refused, at once or
+// after a wait in the queue. The engines must have counted no run of a request that was
+// reported as "not run", and exactly one run of each other.
 func TestNotRunIsTrue(t *testing.T) {
 	f := burdockprograms.Start(t, burdockprograms.Config{
 		Models: 2, Entries: 2, Slots: 2, Step: 5 * time.Millisecond, ProfileExtra: "",
