--- a/internal/proof/burdockconfigproof/herd_test.go
+++ b/internal/proof/burdockconfigproof/herd_test.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	// herdWatchers is the design's number of entries.
+	// herdWatchers is the number of entries that the design allows for.
 	herdWatchers = 350
 	herdSample   = 100 * time.Millisecond
 	herdOutage   = 20 * time.Second
 )
 
-// callCounter samples how often a store is asked.
+// callCounter samples the number of calls that a store receives.
 type callCounter struct {
 	injector *burdockfault.Injector
 	stop     chan struct{}
@@ -62,29 +62,29 @@
 	}
 }
 
-// log ends the count and prints the mean rate and the most within a second.
+// log stops the sampling and logs the mean rate and the maximum within one second.
 func (c *callCounter) log(t *testing.T, name string) {
 	t.Helper()
 	close(c.stop)
 	<-c.done
 	const second = int(time.Second / herdSample)
-	total, most := 0, 0
+	total, peak := 0, 0
 	for i, n := range c.samples {
 		total += n
 		within := 0
 		for _, m := range c.samples[max(0, i-second+1) : i+1] {
 			within += m
 		}
-		most = max(most, within)
+		peak = max(peak, within)
 	}
 	span := time.Duration(len(c.samples)) * herdSample
-	t.Logf("%s: %d calls in %v, %.0f/s, most within a second %d", name, total, span, float64(total)/span.Seconds(), most)
+	t.Logf("%s: %d calls in %v, %.0f/s, at most %d within one second", name, total, span, float64(total)/span.Seconds(), peak)
 }
 
-// All watchers of the design's size lose the store at one moment and find it
-// again at one moment. While it is out each asks every 5 to 10 s, so that its
-// return is spread over as long, and each reads the configuration once. An
-// edit, and a burst of edits, wake all of them.
+// The watchers of a fleet of the design's size lose the store at one moment and reach it
+// again at one moment. During the outage each retries every 5 to 10 s, so their return is
+// spread over as long, and each lists the configuration once. One edit and a burst of 200
+// edits, which all watchers receive, are measured as well.
 func TestReturnOfStoreBringsNoHerd(t *testing.T) {
 	t.Parallel()
 	clock := burdockclock.System()
@@ -102,7 +102,7 @@
 	var views []*burdockconfig.View
 	waitVersion := func(key string, want int) {
 		for _, v := range views {
-			burdockprograms.Eventually(t, "all watchers have the edit", func() bool {
+			burdockprograms.Eventually(t, "all watchers have applied the edit", func() bool {
 				e, _ := v.Get(key)
 				return int(e.Version) == want
 			})
@@ -136,7 +136,7 @@
 		write("profile/bench", "3")
 		waitVersion("profile/bench", 3)
 	})
-	if got, most := injector.Counts()["GET /v1/list"]-lists, 2*herdWatchers; got > most {
-		t.Errorf("listings after the return: got %d, want at most %d", got, most)
+	if got, limit := injector.Counts()["GET /v1/list"]-lists, 2*herdWatchers; got > limit {
+		t.Errorf("listings after the return: got %d, want at most %d", got, limit)
 	}
 }
--- a/internal/proof/burdockconfigproof/history_test.go
+++ b/internal/proof/burdockconfigproof/history_test.go
@@ -33,7 +33,7 @@
 
 var historyKeys = []string{"profile/bench", "profile/statements"}
 
-// outcome is what an operator was told.
+// outcome is the reported outcome of an operation.
 type outcome string
 
 const (
@@ -52,7 +52,7 @@
 	value string
 }
 
-// register is one key, and what an operation tells of it.
+// register is the state of one key, as stored or as an operation returned it.
 type register struct {
 	version burdockid.Version
 	value   string
@@ -63,9 +63,9 @@
 	register
 }
 
-// registerModel is one register for each key: an accepted write stands on the
-// version that it was made on, and is never lost. One with unknown outcome may
-// have taken effect at any time after its call, or never.
+// registerModel models each key as a register: an accepted write replaces exactly the
+// version that it is based on, and is never lost. A write with unknown outcome may take
+// effect at any time after its call, or never.
 var registerModel = porcupine.Model{
 	Partition: partitionByKey,
 	Init:      func() any { return register{} },
@@ -84,7 +84,7 @@
 		return s.version == in.base && out.version == written.version, written
 	case lostRace:
 		return s.version != in.base, s
-	default: // unknown; one that never took effect finds its place at the end
+	default: // unknown; a write that never took effect can be ordered last
 		if s.version == in.base {
 			return true, written
 		}
@@ -105,8 +105,8 @@
 	return parts
 }
 
-// faultyStore is a store whose answers get lost, before or after the effect,
-// or with the effect still to come, and that is slow at times.
+// faultyStore is a store that is slow at times and loses answers: before the write takes
+// effect, after it, or with the write delayed.
 type faultyStore struct {
 	burdockstore.Store
 	mu     sync.Mutex
@@ -114,8 +114,8 @@
 	late   sync.WaitGroup
 }
 
-// draw returns a number from 0 to 99.
-func (s *faultyStore) draw() int {
+// percent returns a random number from 0 to 99.
+func (s *faultyStore) percent() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.random.IntN(100)
@@ -125,7 +125,7 @@
 
 // Get implements burdockstore.Store.
 func (s *faultyStore) Get(ctx context.Context, key string) (burdockstore.Entry, error) {
-	if s.draw() < 15 {
+	if s.percent() < 15 {
 		return burdockstore.Entry{}, errLost
 	}
 	return s.Store.Get(ctx, key)
@@ -133,7 +133,7 @@
 
 // List implements burdockstore.Store.
 func (s *faultyStore) List(ctx context.Context, prefix string) ([]burdockstore.Entry, burdockstore.Revision, error) {
-	if s.draw() < 15 {
+	if s.percent() < 15 {
 		return nil, 0, errLost
 	}
 	return s.Store.List(ctx, prefix)
@@ -141,7 +141,7 @@
 
 // CompareAndSwap implements burdockstore.Store.
 func (s *faultyStore) CompareAndSwap(ctx context.Context, key string, old burdockstore.Revision, value []byte) (burdockstore.Revision, error) {
-	switch n := s.draw(); {
+	switch n := s.percent(); {
 	case n < 20:
 		return 0, errLost
 	case n < 45:
@@ -149,32 +149,32 @@
 		return 0, errLost
 	case n < 60:
 		s.late.Add(1)
-		go s.run(key, old, value, time.Duration(s.draw())*15*time.Millisecond)
+		go s.run(key, old, value, time.Duration(s.percent())*15*time.Millisecond)
 		return 0, errLost
 	case n < 75:
-		time.Sleep(time.Duration(s.draw()) * time.Millisecond)
+		time.Sleep(time.Duration(s.percent()) * time.Millisecond)
 	}
 	return s.Store.CompareAndSwap(ctx, key, old, value)
 }
 
-// run carries a write out late.
+// run carries out a write after a delay.
 func (s *faultyStore) run(key string, old burdockstore.Revision, value []byte, delay time.Duration) {
 	defer s.late.Done()
 	time.Sleep(delay)
 	_, _ = s.Store.CompareAndSwap(context.Background(), key, old, value)
 }
 
-// editWriter is what operators write with.
+// editWriter writes the edits of operators.
 type editWriter interface {
 	Write(context.Context, burdocksync.Edit) (burdockconfig.Entry, error)
 }
 
-// markless is a writer whose entries carry no mark of their own, as a test
-// variant: it takes each conflict for another operator's edit.
-type markless struct{ store burdockstore.Store }
+// marklessWriter is a faulty writer whose entries carry no mark of their writer, so it takes
+// each conflict for another operator's edit.
+type marklessWriter struct{ store burdockstore.Store }
 
 // Write implements editWriter.
-func (m markless) Write(ctx context.Context, edit burdocksync.Edit) (burdockconfig.Entry, error) {
+func (m marklessWriter) Write(ctx context.Context, edit burdocksync.Edit) (burdockconfig.Entry, error) {
 	current, revision, err := burdocksync.Read(ctx, m.store, edit.Key)
 	if err != nil {
 		return current, err
@@ -205,30 +205,30 @@
 	began    time.Time
 	server   *burdockfakestore.Server
 	injector *burdockfault.Injector
-	store    burdockstore.Store // without faults but the injector's
+	store    burdockstore.Store // only with the injector's faults
 	faulty   *faultyStore
 	writer   editWriter
-	views    []*seenView
+	views    []*recordedView
 	watchers []*burdocksync.Watcher
 
 	mu  sync.Mutex
 	ops []porcupine.Operation
 }
 
-// seenView is the view of a process, and all that it ever had in force.
-type seenView struct {
+// recordedView is the view of a process, with all entries that were ever in force in it.
+type recordedView struct {
 	view *burdockconfig.View
 	mu   sync.Mutex
 	seen map[string][]burdockconfig.Entry
 }
 
-func newSeenView() *seenView {
-	v := &seenView{view: burdockconfig.NewView(), seen: map[string][]burdockconfig.Entry{}}
+func newRecordedView() *recordedView {
+	v := &recordedView{view: burdockconfig.NewView(), seen: map[string][]burdockconfig.Entry{}}
 	v.view.Subscribe(v.record)
 	return v
 }
 
-func (v *seenView) record(entries []burdockconfig.Entry, _ burdockconfig.Digest) {
+func (v *recordedView) record(entries []burdockconfig.Entry, _ burdockconfig.Digest) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, e := range entries {
@@ -236,8 +236,8 @@
 	}
 }
 
-// pull takes in what another view has, as processes do over the wire.
-func (v *seenView) pull(from *seenView) {
+// pull merges the entries of another view, as processes do over the network.
+func (v *recordedView) pull(from *recordedView) {
 	if news, known := from.view.Since(v.view.Digest()); known {
 		v.view.Merge(news)
 		return
@@ -256,7 +256,7 @@
 	h.faulty = &faultyStore{Store: h.store, random: rand.New(rand.NewPCG(seed, 1))}
 	h.writer = burdocksync.NewWriter(h.faulty)
 	for range historyWatchers + historyFollowers {
-		h.views = append(h.views, newSeenView())
+		h.views = append(h.views, newRecordedView())
 	}
 	for _, v := range h.views[:historyWatchers] {
 		w := burdocksync.NewWatcher(h.faulty, v.view, burdocksync.NewSource(clock), clock, zap.NewNop())
@@ -278,7 +278,7 @@
 	h.ops = append(h.ops, op)
 }
 
-// operator reads a key and edits it, time and again.
+// operator repeatedly reads a key and edits it.
 type operator struct {
 	history *history
 	number  int
@@ -328,17 +328,18 @@
 	}
 }
 
-// chaos takes the store down now and then, and lets views pull from others.
-type chaos struct {
+// faultScheduler changes the faults of the store at random, and lets views pull from
+// each other.
+type faultScheduler struct {
 	history *history
 	random  *rand.Rand
-	// restores makes the store go back to older states as well.
+	// restores also resets the store to older states.
 	restores bool
 	stop     chan struct{}
 	done     chan struct{}
 }
 
-func (c *chaos) run() {
+func (c *faultScheduler) run() {
 	defer close(c.done)
 	defer c.history.injector.Set(burdockfault.Setting{})
 	for {
@@ -347,11 +348,11 @@
 			return
 		case <-time.After(time.Duration(20+c.random.IntN(80)) * time.Millisecond):
 		}
-		c.once()
+		c.applyRandomFault()
 	}
 }
 
-func (c *chaos) once() {
+func (c *faultScheduler) applyRandomFault() {
 	views := c.history.views
 	views[c.random.IntN(len(views))].pull(views[c.random.IntN(len(views))])
 	switch n := c.random.IntN(40); {
@@ -368,11 +369,11 @@
 	}
 }
 
-// play lets all operators do their edits under faults, and waits until the
-// processes hold the same as the store.
-func (h *history) play(t *testing.T, seed uint64, restores bool) {
+// execute runs all operators under faults and waits until the processes hold the same
+// as the store.
+func (h *history) execute(t *testing.T, seed uint64, restores bool) {
 	t.Helper()
-	c := &chaos{history: h, random: rand.New(rand.NewPCG(seed, 2)), restores: restores, stop: make(chan struct{}), done: make(chan struct{})}
+	c := &faultScheduler{history: h, random: rand.New(rand.NewPCG(seed, 2)), restores: restores, stop: make(chan struct{}), done: make(chan struct{})}
 	go c.run()
 	var done sync.WaitGroup
 	done.Add(historyOperators)
@@ -383,19 +384,19 @@
 	h.faulty.late.Wait()
 	close(c.stop)
 	<-c.done
-	h.converge(t)
+	h.waitConverged(t)
 	for _, w := range h.watchers {
 		w.Close()
 	}
 }
 
-// converge waits until the store and all views hold the same.
-func (h *history) converge(t *testing.T) {
+// waitConverged waits until the store and all views hold the same.
+func (h *history) waitConverged(t *testing.T) {
 	t.Helper()
 	deadline := time.Now().Add(historyLimit)
-	for !h.alike() {
+	for !h.converged() {
 		if time.Now().After(deadline) {
-			t.Fatalf("the store and all views did not come to hold the same within %v", historyLimit)
+			t.Fatalf("the store and all views did not converge within %v", historyLimit)
 		}
 		for _, v := range h.views {
 			v.pull(h.views[0])
@@ -404,7 +405,7 @@
 	}
 }
 
-func (h *history) alike() bool {
+func (h *history) converged() bool {
 	stored, _, err := h.store.List(context.Background(), burdockconfig.StorePrefix)
 	if err != nil {
 		return false
@@ -425,7 +426,7 @@
 	return true
 }
 
-// count returns how many operations had an outcome.
+// count returns the number of operations with an outcome.
 func (h *history) count(want outcome) int {
 	n := 0
 	for _, op := range h.ops {
@@ -440,10 +441,10 @@
 	return porcupine.CheckOperationsTimeout(registerModel, h.ops, historyLimit)
 }
 
-// wantForward checks that no view ever went back, and with oneValue that all
-// views saw the same edit as each version, which must be one that an operator
-// made.
-func (h *history) wantForward(t *testing.T, oneValue bool) {
+// checkForward checks that no view went back to an older version. With oneValue it also
+// checks that all views saw the same value for each version, that it is the accepted one,
+// and that no accepted version is missing in the end.
+func (h *history) checkForward(t *testing.T, oneValue bool) {
 	t.Helper()
 	type place struct {
 		key     string
@@ -475,53 +476,53 @@
 	}
 }
 
-// Five operators edit two profiles while a third of the store's answers are
-// lost, with the effect before, after or still to come, and the store is slow
-// and down at times. What each was told must fit one order in which no
-// accepted edit is lost; no process may ever go back.
+// Five operators edit two profiles while a third of the store's answers are lost, before or
+// after the effect or with the effect delayed, and the store is slow and down at times. The
+// reported outcomes must be linearizable without losing an accepted edit, and no process may
+// go back to an older version.
 func TestHistoriesFitOneOrder(t *testing.T) {
 	for seed := uint64(1); seed <= 4; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			h := newHistory(t, seed)
-			h.play(t, seed, false)
+			h.execute(t, seed, false)
 			if got := h.check(); got != porcupine.Ok {
 				t.Errorf("history: got %s, want %s", got, porcupine.Ok)
 			}
-			h.wantForward(t, true)
+			h.checkForward(t, true)
 			t.Logf("reads %d, applied %d, races %d, unknown %d", h.count(readDone), h.count(applied), h.count(lostRace), h.count(unknown))
 		})
 	}
 }
 
-// The same with a writer that has no marks: an edit whose answer was lost is
-// reported as a lost race against itself. The check must find that.
+// Like TestHistoriesFitOneOrder, but the writer sets no marks, so it reports an edit whose
+// answer was lost as a lost race against itself. The check must detect it.
 func TestCheckFindsWriterWithoutMarks(t *testing.T) {
 	t.Parallel()
 	found := 0
 	for seed := uint64(1); seed <= 2; seed++ {
 		h := newHistory(t, seed)
-		h.writer = markless{store: h.faulty}
-		h.play(t, seed, false)
+		h.writer = marklessWriter{store: h.faulty}
+		h.execute(t, seed, false)
 		if h.check() == porcupine.Illegal {
 			found++
 		}
 	}
 	if found == 0 {
-		t.Error("the check passed every history of a writer without marks")
+		t.Error("the check accepted every history of a writer without marks")
 	}
 }
 
-// The same with a store that restarts from older states as well, so that
-// accepted edits are lost in it. No process goes back, and in the end the store
-// and all processes hold the same.
+// Like TestHistoriesFitOneOrder, but the store also restarts from older states and loses
+// accepted edits. No process may go back, and in the end the store and all processes must
+// hold the same.
 func TestRestartsFromOlderStates(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			h := newHistory(t, seed)
-			h.play(t, seed, true)
-			h.wantForward(t, false)
+			h.execute(t, seed, true)
+			h.checkForward(t, false)
 		})
 	}
 }
--- a/internal/proof/burdockconfigproof/operator_test.go
+++ b/internal/proof/burdockconfigproof/operator_test.go
@@ -1,6 +1,6 @@
-// Package burdockconfigproof brings about the failures that the promise on
-// configuration is made for, on the built programs as separate processes: in
-// force everywhere within seconds, and never back.
+// Package burdockconfigproof tests the guarantee on configuration under failures, with the
+// built programs as separate processes: an edit is in force everywhere within seconds, and
+// no process goes back to an older version.
 package burdockconfigproof
 
 import (
@@ -30,7 +30,7 @@
 	})
 }
 
-// profileFile writes a profile file of a test's own.
+// profileFile writes a profile with the given maxQueued to a temporary file.
 func profileFile(t *testing.T, f *burdockprograms.Fleet, maxQueued int) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "profile.toml")
@@ -40,23 +40,23 @@
 	return path
 }
 
-// applying is one operator's apply.
-type applying struct {
+// applyCommand is one run of the operators' command `profile apply`.
+type applyCommand struct {
 	fleet  *burdockprograms.Fleet
 	args   []string
 	out    string
 	status int
 }
 
-func newApplying(f *burdockprograms.Fleet, file string, flags ...string) *applying {
+func newApplyCommand(f *burdockprograms.Fleet, file string, flags ...string) *applyCommand {
 	args := append([]string{"profile", "apply", "-store", f.Store.Address}, flags...)
-	return &applying{fleet: f, args: append(args, file)}
+	return &applyCommand{fleet: f, args: append(args, file)}
 }
 
-func (a *applying) run() { a.out, a.status = a.fleet.TryOperate(a.args...) }
+func (a *applyCommand) run() { a.out, a.status = a.fleet.TryOperate(a.args...) }
 
-// held is what a process holds of the profile.
-type held struct {
+// heldVersion is the version of a key that a process holds.
+type heldVersion struct {
 	Version int
 	Mark    string
 	Deleted bool
@@ -64,13 +64,13 @@
 
 const profileKey = "profile/bench"
 
-// heldAt returns what the process at an operators' address holds of a key.
-func heldAt(admin, key string) (held, bool) {
+// heldAt returns the version of a key that the process at an admin address holds.
+func heldAt(admin, key string) (heldVersion, bool) {
 	var dump struct {
-		Versions map[string]held
+		Versions map[string]heldVersion
 	}
 	if !burdockprograms.GetJSON("http://"+admin+"/state", &dump) {
-		return held{}, false
+		return heldVersion{}, false
 	}
 	h, ok := dump.Versions[key]
 	return h, ok
@@ -85,7 +85,7 @@
 	})
 }
 
-// admins returns the operators' addresses of all processes.
+// admins returns the admin addresses of all processes.
 func admins(f *burdockprograms.Fleet) []string {
 	var all []string
 	for _, e := range f.Entries {
@@ -104,42 +104,41 @@
 	}
 }
 
-// wantOutput checks what a command printed and how it ended.
-func wantOutput(t *testing.T, a *applying, status int, parts ...string) {
+// checkOutput checks the exit status of a command and parts of its output.
+func checkOutput(t *testing.T, a *applyCommand, status int, parts ...string) {
 	t.Helper()
 	if a.status != status {
 		t.Errorf("exit status: got %d, want %d\n%s", a.status, status, a.out)
 	}
 	for _, part := range parts {
 		if !strings.Contains(a.out, part) {
-			t.Errorf("output: got %q, want it to hold %q", a.out, part)
+			t.Errorf("output: got %q, want it to contain %q", a.out, part)
 		}
 	}
 }
 
-// together is one of several commands that run at the same time.
-type together struct {
-	command *applying
+// concurrentCommand is one of several commands that run at the same time.
+type concurrentCommand struct {
+	command *applyCommand
 	done    *sync.WaitGroup
 }
 
-func (r together) run() {
+func (r concurrentCommand) run() {
 	defer r.done.Done()
 	r.command.run()
 }
 
-// Two operators apply different edits of one profile at the same moment. The
-// store is slow to write, so both have read version 1 before either writes.
-// One is told version 2; the other is told that it lost, and which field now
-// stands at what. Nothing is overwritten unseen.
+// Two operators apply different edits of one profile at the same moment. Writes to the store
+// are slow, so both have read version 1 before either writes. One gets version 2; the other
+// must be told that it lost and which field has which value now.
 func TestOperatorsRace(t *testing.T) {
 	f := startFleet(t, 1, 2)
 	f.Store.SetFault(t, burdockfault.Setting{DelayMillis: 1500, Only: http.MethodPut})
-	both := []*applying{newApplying(f, profileFile(t, f, 77)), newApplying(f, profileFile(t, f, 88))}
+	both := []*applyCommand{newApplyCommand(f, profileFile(t, f, 77)), newApplyCommand(f, profileFile(t, f, 88))}
 	var done sync.WaitGroup
 	for _, a := range both {
 		done.Add(1)
-		go together{a, &done}.run()
+		go concurrentCommand{a, &done}.run()
 	}
 	done.Wait()
 	f.Store.SetFault(t, burdockfault.Setting{})
@@ -147,31 +146,31 @@
 	if winner.status != 0 {
 		winner, loser, value = both[1], both[0], 88
 	}
-	wantOutput(t, winner, 0, "profile/bench: changed to version 2")
-	wantOutput(t, loser, 1, "not applied", "another edit became version 2 first",
+	checkOutput(t, winner, 0, "profile/bench: changed to version 2")
+	checkOutput(t, loser, 1, "not applied", "another edit became version 2 first",
 		fmt.Sprintf("queue.maxQueued: was 256, is %d", value))
 	waitVersionEverywhere(t, f, 2)
 }
 
-// An operator edits version 1 and says so; meanwhile another's edit became
-// version 2. The first is refused and shown what differs, and nothing changes.
-// Without the base the file is put in force, and what it replaced is shown.
+// An edit based on version 1 is applied after another edit became version 2. It must be
+// refused with the difference, without any change. Without -base the file is applied, and
+// the replaced values are printed.
 func TestEditOfAnOlderBase(t *testing.T) {
 	f := startFleet(t, 1, 1)
 	f.ApplyProfile(t, f.ProfileTOML(77))
-	late := newApplying(f, profileFile(t, f, 88), "-base", "1")
+	late := newApplyCommand(f, profileFile(t, f, 88), "-base", "1")
 	late.run()
-	wantOutput(t, late, 1, "is at version 2 by now, the edit was made on version 1; nothing was changed",
+	checkOutput(t, late, 1, "is at version 2 by now, the edit was made on version 1; nothing was changed",
 		"queue.maxQueued: in the store 77, in the file 88")
 	waitVersionEverywhere(t, f, 2)
-	anyBase := newApplying(f, profileFile(t, f, 88))
+	anyBase := newApplyCommand(f, profileFile(t, f, 88))
 	anyBase.run()
-	wantOutput(t, anyBase, 0, "changed to version 3", "queue.maxQueued: was 77, is 88")
+	checkOutput(t, anyBase, 0, "changed to version 3", "queue.maxQueued: was 77, is 88")
 	waitVersionEverywhere(t, f, 3)
 }
 
-// faultFor sets a fault and ends it after a while.
-type faultFor struct {
+// temporaryFault sets a fault of the store and clears it after a while.
+type temporaryFault struct {
 	t       *testing.T
 	store   *burdockprograms.Standin
 	setting burdockfault.Setting
@@ -179,25 +178,24 @@
 	done    sync.WaitGroup
 }
 
-func startFault(t *testing.T, f *burdockprograms.Fleet, setting burdockfault.Setting, span time.Duration) *faultFor {
+func startFault(t *testing.T, f *burdockprograms.Fleet, setting burdockfault.Setting, span time.Duration) *temporaryFault {
 	t.Helper()
-	x := &faultFor{t: t, store: f.Store, setting: setting, span: span}
+	x := &temporaryFault{t: t, store: f.Store, setting: setting, span: span}
 	x.store.SetFault(t, setting)
 	x.done.Add(1)
 	go x.run()
 	return x
 }
 
-func (x *faultFor) run() {
+func (x *temporaryFault) run() {
 	defer x.done.Done()
 	time.Sleep(x.span)
 	x.store.SetFault(x.t, burdockfault.Setting{})
 }
 
-// The answers of the store to writes are lost for a second and a half: once
-// after the write took effect, once before, once with the effect still to
-// come. The operator is told that the edit is applied, and the version grows
-// by one each time: no try is taken for another operator's.
+// The store loses the answers to writes for 1.5 s: after the write took effect, before it,
+// or with the effect delayed. The edit must be reported as applied, and the version must grow
+// by one each time: no retry may be taken for another operator's edit.
 func TestAnswerOfWriteLost(t *testing.T) {
 	f := startFleet(t, 1, 2)
 	for i, c := range []struct {
@@ -210,60 +208,58 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			x := startFault(t, f, c.setting, 1500*time.Millisecond)
-			a := newApplying(f, profileFile(t, f, 100+i))
+			a := newApplyCommand(f, profileFile(t, f, 100+i))
 			a.run()
 			x.done.Wait()
-			wantOutput(t, a, 0, fmt.Sprintf("changed to version %d", i+2))
+			checkOutput(t, a, 0, fmt.Sprintf("changed to version %d", i+2))
 			waitVersionEverywhere(t, f, i+2)
 		})
 	}
 }
 
-// All answers to writes are lost until the operator's command gives up. It
-// says that the outcome is unknown, and not that the edit was not applied,
-// since it took effect. The same command again finds nothing to change.
+// All answers to writes are lost until the command gives up. It must report an unknown
+// outcome, not a failure, since the edit took effect. The same command then finds nothing to
+// change.
 func TestOutcomeUnknownIsSaid(t *testing.T) {
 	f := startFleet(t, 1, 1)
 	f.Store.SetFault(t, burdockfault.Setting{Mode: burdockfault.LateEffect, DelayMillis: 5000, Only: http.MethodPut})
 	file := profileFile(t, f, 77)
-	a := newApplying(f, file)
+	a := newApplyCommand(f, file)
 	a.run()
 	f.Store.SetFault(t, burdockfault.Setting{})
-	wantOutput(t, a, 1, "profile/bench: outcome unknown, it may be applied", "1 with unknown outcome")
+	checkOutput(t, a, 1, "profile/bench: outcome unknown, it may be applied", "1 with unknown outcome")
 	if strings.Contains(a.out, "bench: not applied") {
 		t.Errorf("output: got %q, want no claim that the edit was not applied", a.out)
 	}
 	waitVersionEverywhere(t, f, 2)
-	again := newApplying(f, file)
+	again := newApplyCommand(f, file)
 	again.run()
-	wantOutput(t, again, 0, "nothing to change")
+	checkOutput(t, again, 0, "nothing to change")
 }
 
-// The store is down, then silent, when an operator applies an edit. The
-// command ends with status 1 and says that the store gave no answer; the
-// processes go on with what they have. When the store is back, the same
-// command puts the edit in force.
+// An edit is applied while the store is down, then while it is silent. The command must exit
+// with status 1 and report that the store did not answer; the processes keep their
+// configuration. Once the store is back, the same command applies the edit.
 func TestEditWhileStoreIsOut(t *testing.T) {
 	f := startFleet(t, 1, 1)
 	file := profileFile(t, f, 77)
 	for _, mode := range []burdockfault.Mode{burdockfault.Down, burdockfault.Silent} {
 		f.Store.SetFault(t, burdockfault.Setting{Mode: mode})
-		a := newApplying(f, file)
+		a := newApplyCommand(f, file)
 		a.run()
-		wantOutput(t, a, 1, "read the configuration", "store.unavailable")
+		checkOutput(t, a, 1, "read the configuration", "store.unavailable")
 	}
 	waitVersionEverywhere(t, f, 1)
 	f.Store.SetFault(t, burdockfault.Setting{})
-	a := newApplying(f, file)
+	a := newApplyCommand(f, file)
 	a.run()
-	wantOutput(t, a, 0, "changed to version 2")
+	checkOutput(t, a, 0, "changed to version 2")
 	waitVersionEverywhere(t, f, 2)
 }
 
-// A file of three profiles is applied and the store stops taking writes after
-// it was read. The operator is told of one edit whose outcome is unknown and
-// that two were not tried, at once and not after three times the tries. The
-// same command again applies all that is left.
+// A file of three profiles is applied, and the store refuses writes after it was read. The
+// command must report one edit with unknown outcome and two not tried, without retrying for
+// each of the three. The same command then applies all that is left.
 func TestApplyPartlyFails(t *testing.T) {
 	f := startFleet(t, 1, 1)
 	file := profileFile(t, f, 77)
@@ -275,12 +271,12 @@
 		t.Fatal(err)
 	}
 	f.Store.SetFault(t, burdockfault.Setting{Mode: burdockfault.Down, Only: http.MethodPut})
-	a := newApplying(f, file)
+	a := newApplyCommand(f, file)
 	a.run()
-	wantOutput(t, a, 1, "outcome unknown", "0 edits applied, 0 not applied, 1 with unknown outcome, 2 not tried")
+	checkOutput(t, a, 1, "outcome unknown", "0 edits applied, 0 not applied, 1 with unknown outcome, 2 not tried")
 	f.Store.SetFault(t, burdockfault.Setting{})
-	again := newApplying(f, file)
+	again := newApplyCommand(f, file)
 	again.run()
-	wantOutput(t, again, 0, "profile/bench: changed to version 2", "profile/bench-b: added as version 1", "profile/bench-c: added as version 1")
+	checkOutput(t, again, 0, "profile/bench: changed to version 2", "profile/bench-b: added as version 1", "profile/bench-c: added as version 1")
 	waitVersionEverywhere(t, f, 2)
 }
--- a/internal/proof/burdockconfigproof/spread_test.go
+++ b/internal/proof/burdockconfigproof/spread_test.go
@@ -15,8 +15,8 @@
 	"burdockbend.example/burdockbend/internal/state/burdockhome"
 )
 
-// command gives the stand-in store a command of its own.
-func command(t *testing.T, f *burdockprograms.Fleet, path string) {
+// postCommand sends a control command to the stand-in store.
+func postCommand(t *testing.T, f *burdockprograms.Fleet, path string) {
 	t.Helper()
 	res, err := http.Post("http://"+f.Store.Address+path, "", nil)
 	if err != nil {
@@ -28,14 +28,14 @@
 	}
 }
 
-// compare runs the operators' comparison of the store and all processes.
+// compare runs the command `config compare` on the store and all processes.
 func compare(f *burdockprograms.Fleet) (string, int) {
 	return f.TryOperate(append([]string{"config", "compare", "-store", f.Store.Address}, admins(f)...)...)
 }
 
-// settle waits until the agents have claimed the homes of all keys, which they
-// do through the configuration, and all processes hold the same.
-func settle(t *testing.T, f *burdockprograms.Fleet) {
+// waitSettled waits until the agents have claimed all key slots, which they do through the
+// configuration, and the store and all processes hold the same.
+func waitSettled(t *testing.T, f *burdockprograms.Fleet) {
 	t.Helper()
 	for slot := range burdockledger.Slot(burdockledger.SlotCount) {
 		key := fmt.Sprintf("%s%s/%d", burdockhome.Prefix, burdockprograms.ModelService, slot)
@@ -50,19 +50,19 @@
 	})
 }
 
-// versionsOf polls what a process has in force until it is told to stop.
-type versionsOf struct {
+// versionPoller polls the version of a key that a process holds and records each change.
+type versionPoller struct {
 	admin string
 	key   string
 	stop  chan struct{}
 	done  chan struct{}
-	seen  []held
+	seen  []heldVersion
 }
 
-func watchVersions(f *burdockprograms.Fleet, key string) []*versionsOf {
-	var all []*versionsOf
+func watchVersions(f *burdockprograms.Fleet, key string) []*versionPoller {
+	var all []*versionPoller
 	for _, admin := range admins(f) {
-		v := &versionsOf{admin: admin, key: key, stop: make(chan struct{}), done: make(chan struct{})}
+		v := &versionPoller{admin: admin, key: key, stop: make(chan struct{}), done: make(chan struct{})}
 		go v.run()
 		all = append(all, v)
 	}
@@ -71,7 +71,7 @@
 
 const pollPause = 50 * time.Millisecond
 
-func (v *versionsOf) run() {
+func (v *versionPoller) run() {
 	defer close(v.done)
 	for {
 		select {
@@ -85,8 +85,8 @@
 	}
 }
 
-// wantForward stops the polls and checks that no process ever went back.
-func wantForward(t *testing.T, all []*versionsOf) {
+// checkForward stops the pollers and checks that no process went back to an older version.
+func checkForward(t *testing.T, all []*versionPoller) {
 	t.Helper()
 	for _, v := range all {
 		close(v.stop)
@@ -99,9 +99,9 @@
 	}
 }
 
-// An operator's edit is in force at every process some seconds after the
-// command has returned. The fleet serves no traffic, so the edit spreads by
-// the store's watch to the entries and by pulls to the agents.
+// Measures the time from the end of a command until its edit is in force at every process.
+// The fleet serves no traffic, so the edit reaches the entries by the store's watch and the
+// agents by pulls.
 func TestTimeToAll(t *testing.T) {
 	f := startFleet(t, 8, 3)
 	for version := 2; version <= 4; version++ {
@@ -112,32 +112,30 @@
 	}
 }
 
-// The store answers each call too late at first, and the operator is told so.
-// Then it answers after two seconds: an edit is accepted, and every process has
-// it in force although each read takes that long.
+// The store first answers each call after 3.5 s, too late, and the command must report it.
+// Then it answers after 2 s: the edit must be accepted and reach every process.
 func TestStoreSlow(t *testing.T) {
 	f := startFleet(t, 2, 2)
 	all := watchVersions(f, profileKey)
 	f.Store.SetFault(t, burdockfault.Setting{DelayMillis: 3500})
-	early := newApplying(f, profileFile(t, f, 77))
+	early := newApplyCommand(f, profileFile(t, f, 77))
 	early.run()
-	wantOutput(t, early, 1, "read the configuration", "store.unavailable")
+	checkOutput(t, early, 1, "read the configuration", "store.unavailable")
 	f.Store.SetFault(t, burdockfault.Setting{DelayMillis: 2000})
-	slow := newApplying(f, profileFile(t, f, 77))
+	slow := newApplyCommand(f, profileFile(t, f, 77))
 	slow.run()
-	wantOutput(t, slow, 0, "changed to version 2")
+	checkOutput(t, slow, 0, "changed to version 2")
 	waitVersionEverywhere(t, f, 2)
-	wantForward(t, all)
+	checkForward(t, all)
 }
 
-// watchEnds is longer than one watch of the store waits. An entry that is
-// frozen for that long has no answer of the store left to read when it wakes.
-const watchEnds = 11 * time.Second
+// watchTimeout is longer than one watch call to the store lasts. An entry frozen for that
+// long has no answer of the store left to read when it resumes.
+const watchTimeout = 11 * time.Second
 
-// An edit is accepted while two of three entries are frozen, so one entry
-// alone sees it. Then the store goes down, and the two wake up. The edit
-// reaches them and all agents by way of the one entry, and stays when the
-// store is back.
+// An edit is accepted while two of three entries are frozen, so only one entry receives it.
+// Then the store goes down and the two resume. The edit must reach them and all agents through
+// the one entry, and stay when the store is back.
 func TestEditRightBeforeOutage(t *testing.T) {
 	f := startFleet(t, 3, 3)
 	all := watchVersions(f, profileKey)
@@ -145,7 +143,7 @@
 	for _, e := range frozen {
 		e.Freeze()
 	}
-	time.Sleep(watchEnds)
+	time.Sleep(watchTimeout)
 	f.ApplyProfile(t, f.ProfileTOML(77))
 	waitVersion(t, f.Entries[0].Admin, 2)
 	f.Store.SetFault(t, burdockfault.Setting{Mode: burdockfault.Down})
@@ -154,17 +152,15 @@
 	}
 	began := time.Now()
 	waitVersionEverywhere(t, f, 2)
-	t.Logf("in force everywhere %v after the entries woke", time.Since(began).Round(10*time.Millisecond))
+	t.Logf("in force everywhere %v after the entries resumed", time.Since(began).Round(10*time.Millisecond))
 	f.Store.SetFault(t, burdockfault.Setting{})
 	f.ApplyProfile(t, f.ProfileTOML(88))
 	waitVersionEverywhere(t, f, 3)
-	wantForward(t, all)
+	checkForward(t, all)
 }
 
-// The store is silent. An agent and an entry are lost and start again with
-// nothing but their settings; each gets the configuration, with an edit made
-// right before, from the other entry. Both are ready although the store never
-// answered them.
+// An agent and an entry are killed and restarted while the store is silent. Both must get
+// the configuration, with an edit made right before, from the other entry and become ready.
 func TestStartWhileStoreIsOut(t *testing.T) {
 	f := startFleet(t, 2, 2)
 	f.ApplyProfile(t, f.ProfileTOML(77))
@@ -180,37 +176,35 @@
 	waitVersionEverywhere(t, f, 2)
 }
 
-// The store restarts from an older state that lacks two edits and an added
-// profile, and still has a deleted one. No process goes back, and the store
-// gets all of it again: a process that asks the store alone finds what was
-// accepted.
+// The store restarts from an older state that lacks two edits and an added profile. No
+// process may go back, and the entries must write the lost edits to the store again, so a
+// client that only asks the store finds all that was accepted.
 func TestStoreRestartsFromOlderState(t *testing.T) {
 	f := startFleet(t, 2, 3)
-	settle(t, f)
-	command(t, f, burdockfakestore.PathSnapshot)
+	waitSettled(t, f)
+	postCommand(t, f, burdockfakestore.PathSnapshot)
 	f.ApplyProfile(t, f.ProfileTOML(77))
 	f.ApplyProfile(t, f.ProfileTOML(88))
 	f.ApplyProfile(t, strings.Replace(f.ProfileTOML(99), `"bench"`, `"added"`, 1))
 	waitVersionEverywhere(t, f, 3)
-	settle(t, f)
+	waitSettled(t, f)
 	before := f.Store.Counts()["PUT /v1/key"]
 	all := watchVersions(f, profileKey)
-	command(t, f, burdockfakestore.PathRestore)
+	postCommand(t, f, burdockfakestore.PathRestore)
 	burdockprograms.Eventually(t, "the store has the lost edits again", func() bool {
 		list := f.Operate(t, "profile", "list", "-store", f.Store.Address)
 		return strings.Contains(list, "bench    3") && strings.Contains(list, "added    1")
 	})
 	t.Logf("writes that put 2 keys back, by 3 entries: %d", f.Store.Counts()["PUT /v1/key"]-before)
-	settle(t, f)
+	waitSettled(t, f)
 	f.ApplyProfile(t, f.ProfileTOML(99))
 	waitVersionEverywhere(t, f, 4)
-	wantForward(t, all)
+	checkForward(t, all)
 }
 
-// A customer is taken out of the fleet file while one entry is frozen. When it
-// wakes, it still holds the customer and the store is down; it hears of the
-// deletion from its peers, and its older entry brings the customer back to
-// nobody.
+// A customer is deleted while one entry is frozen, and the store is down when that entry
+// resumes. The entry must learn of the deletion from its peers, and its older state must not
+// bring the customer back anywhere.
 func TestDeletedKeyStaysDeleted(t *testing.T) {
 	f := startFleet(t, 2, 2)
 	const deleted = "customer/leaving-lab"
@@ -223,7 +217,7 @@
 		})
 	}
 	f.Entries[1].Freeze()
-	time.Sleep(watchEnds)
+	time.Sleep(watchTimeout)
 	f.ApplyFleet(t, members)
 	isDeleted := func(admin string) bool {
 		h, _ := heldAt(admin, deleted)
@@ -239,23 +233,23 @@
 	f.Store.SetFault(t, burdockfault.Setting{})
 	f.ApplyProfile(t, f.ProfileTOML(77))
 	waitVersionEverywhere(t, f, 2)
-	wantForward(t, all)
+	checkForward(t, all)
 	for _, admin := range admins(f) {
 		if !isDeleted(admin) {
-			t.Errorf("%s: the customer is back", admin)
+			t.Errorf("%s: the deleted customer is present again", admin)
 		}
 	}
 }
 
-// An operator compares the store with each process while one is frozen. The
-// command names what differs, says who does not answer, and ends with status 1
-// until all hold the same; while the store is out it still compares the rest.
+// The command `config compare` must exit with status 0 only if the store and all processes
+// answer and hold the same. With a frozen process it exits with status 1 and reports which
+// one does not answer; with the store down it still compares the processes.
 func TestCompareShowsWhoIsBehind(t *testing.T) {
 	f := startFleet(t, 1, 2)
-	settle(t, f)
+	waitSettled(t, f)
 	out, status := compare(f)
 	if status != 0 || strings.Contains(out, "\nKEY ") {
-		t.Errorf("all alike: got status %d, want 0 and no keys\n%s", status, out)
+		t.Errorf("all equal: got status %d, want 0 and no keys\n%s", status, out)
 	}
 	f.Agents[0].Freeze()
 	out, status = compare(f)
--- a/internal/proof/burdockconfigproof/storeload_test.go
+++ b/internal/proof/burdockconfigproof/storeload_test.go
@@ -17,15 +17,15 @@
 	loadSpan    = 10 * time.Second
 )
 
-// phase is what was counted during one span.
+// phase is a measurement over one time span.
 type phase struct {
 	name  string
 	span  time.Duration
-	calls map[string]int // asked of the store
+	calls map[string]int // calls to the store by name
 	sent  []burdockprograms.Sent
 }
 
-// total returns how often the store was asked.
+// total returns the number of calls to the store.
 func (p phase) total() int {
 	n := 0
 	for _, calls := range p.calls {
@@ -52,7 +52,7 @@
 	t.Log(line)
 }
 
-// measure counts the store's calls during a span, with load or without.
+// measure counts the calls to the store during a span, with callers or none.
 func measure(f *burdockprograms.Fleet, name string, callers int, span time.Duration) phase {
 	before, began := f.Store.Counts(), time.Now()
 	load := f.StartLoad(callers, burdockprograms.StreamedChats(loadTokens))
@@ -67,8 +67,8 @@
 	return p
 }
 
-// wantServed checks that every request was answered whole.
-func (p phase) wantServed(t *testing.T) {
+// checkServed checks that every request got its whole answer.
+func (p phase) checkServed(t *testing.T) {
 	t.Helper()
 	if len(p.sent) == 0 {
 		t.Errorf("%s: no request was sent", p.name)
@@ -80,18 +80,16 @@
 	}
 }
 
-// callsPerProcess is far above what each entry asks of the store in a phase,
-// and far below the number of requests.
-const callsPerProcess = 40
+// maxCallsPerEntry is far above the calls of one entry to the store in a phase, and far
+// below the number of requests.
+const maxCallsPerEntry = 40
 
-// Callers are served while the store answers, while it is silent, while it is
-// down, and after its return, and none sees a failure. The store is asked as
-// often without any request as with thousands: by one watch for each entry,
-// renewed every 10 s, and by a retry every 5 to 10 s while it is out. Agents
-// ask it nothing.
+// No request fails while the store is up, silent, down and back. The number of calls to the
+// store must not depend on the number of requests: each entry has one watch, renewed every
+// 10 s, and retries every 5 to 10 s during an outage. Agents never call the store.
 func TestRequestsAddNoStoreCall(t *testing.T) {
 	f := startFleet(t, 8, 3)
-	settle(t, f)
+	waitSettled(t, f)
 	phases := []phase{measure(f, "up, idle", 0, loadSpan), measure(f, "up", loadCallers, loadSpan)}
 	f.Store.SetFault(t, burdockfault.Setting{Mode: burdockfault.Silent})
 	phases = append(phases, measure(f, "silent", loadCallers, loadSpan))
@@ -101,17 +99,17 @@
 	phases = append(phases, measure(f, "returned", loadCallers, loadSpan))
 	for _, p := range phases {
 		p.log(t)
-		if most := callsPerProcess * len(f.Entries); p.total() > most {
-			t.Errorf("%s: the store was asked %d times, want at most %d", p.name, p.total(), most)
+		if limit := maxCallsPerEntry * len(f.Entries); p.total() > limit {
+			t.Errorf("%s: got %d calls to the store, want at most %d", p.name, p.total(), limit)
 		}
 		if p.calls["GET /v1/key"] > 0 {
-			t.Errorf("%s: %d single keys were read, want none", p.name, p.calls["GET /v1/key"])
+			t.Errorf("%s: got %d reads of single keys, want none", p.name, p.calls["GET /v1/key"])
 		}
 	}
 	for _, p := range []phase{phases[1], phases[2], phases[3], phases[5]} {
-		p.wantServed(t)
-		if got, most := p.total(), len(p.sent)/4; got > most {
-			t.Errorf("%s: %d store calls for %d requests, want no dependence", p.name, got, len(p.sent))
+		p.checkServed(t)
+		if got, limit := p.total(), len(p.sent)/4; got > limit {
+			t.Errorf("%s: %d store calls for %d requests, want a number independent of the requests", p.name, got, len(p.sent))
 		}
 	}
 }
