--- a/internal/proof/burdockdoor/caller_test.go
+++ b/internal/proof/burdockdoor/caller_test.go
@@ -16,8 +16,8 @@
 	"burdockbend.example/burdockbend/internal/proof/burdockprograms"
 )
 
-// badCall is input that must be refused with a status and a code.
-type badCall struct {
+// invalidCall is a request that must be refused with the status and the error code.
+type invalidCall struct {
 	name   string
 	method string
 	path   string
@@ -29,7 +29,7 @@
 
 const chatPath = "/v1/chat/completions"
 
-var badCalls = []badCall{
+var invalidCalls = []invalidCall{
 	{"no key", "POST", chatPath, chatBody, map[string]string{"Authorization": ""}, 401, "unauthenticated"},
 	{"wrong key", "POST", chatPath, chatBody, map[string]string{"Authorization": "Bearer wrong"}, 401, "unauthenticated"},
 	{"malformed JSON", "POST", chatPath, `{"model":`, nil, 400, "badRequest"},
@@ -48,13 +48,13 @@
 	{"too long key", "POST", chatPath, chatBody, map[string]string{"Idempotency-Key": strings.Repeat("k", 256)}, 400, "badRequest"},
 }
 
-// A caller sends what is wrong in every way there is. Each time it gets an
-// error of the API that says what is wrong and that nothing was run. The
-// engine saw none of it, and the process holds no more than before.
-func TestBadCallsAreRefusedInTheShapeOfTheAPI(t *testing.T) {
+// Each kind of invalid request gets an API error that says what is wrong and that
+// nothing was run. No request reaches the engine, and no goroutine or descriptor
+// leaks.
+func TestInvalidRequestsGetAPIErrors(t *testing.T) {
 	f := startFleet(t, smallLimits)
-	ran, before := f.runs(t), least(t)
-	for _, tc := range badCalls {
+	runsBefore, before := f.runs(t), minUsage(t)
+	for _, tc := range invalidCalls {
 		t.Run(tc.name, func(t *testing.T) {
 			req := f.request(t, tc.method, tc.path, tc.body)
 			for name, value := range tc.header {
@@ -64,17 +64,18 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			expectProblem(t, res, tc.status, tc.code)
+			expectAPIError(t, res, tc.status, tc.code)
 		})
 	}
-	if got, want := f.runs(t), ran; got != want {
+	if got, want := f.runs(t), runsBefore; got != want {
 		t.Errorf("runs at the engine: got %d, want %d", got, want)
 	}
-	expectNoMore(t, before)
+	expectNoLeak(t, before)
 }
 
-// expectProblem checks an error of the API.
-func expectProblem(t *testing.T, res *http.Response, status int, code string) {
+// expectAPIError checks that the response is an API error with the status and code,
+// marked as not run.
+func expectAPIError(t *testing.T, res *http.Response, status int, code string) {
 	t.Helper()
 	defer func() { _ = res.Body.Close() }()
 	var body struct {
@@ -87,7 +88,7 @@
 		} `json:"error"`
 	}
 	if err := json.NewDecoder(res.Body).Decode(&body); err != nil {
-		t.Fatalf("body is not the API's error: %v", err)
+		t.Fatalf("body is not an API error: %v", err)
 	}
 	if got, want := res.StatusCode, status; got != want {
 		t.Errorf("status: got %d, want %d", got, want)
@@ -96,14 +97,15 @@
 		t.Errorf("code: got %q, want %q", got, want)
 	}
 	if body.Error.Message == "" || body.Error.Type == "" {
-		t.Errorf("error without message or type: %+v", body.Error)
+		t.Errorf("error lacks a message or a type: %+v", body.Error)
 	}
 	if got, want := res.Header.Get("Burdock-Not-Run"), "true"; got != want || !body.Error.NotRun {
 		t.Errorf("not run: got header %q and field %v, want both true", got, body.Error.NotRun)
 	}
 }
 
-// dial opens a connection to an address that is closed with the test.
+// dial opens a TCP connection with a deadline of 20 seconds; the test closes it at its
+// end.
 func dial(t *testing.T, address string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -115,12 +117,12 @@
 	return conn
 }
 
-// A sender stops in the middle of its body. It is told so after the time that
-// a body may take, and its connection is closed, as the rest of the body could
-// be taken for the next request.
+// A client stops sending in the middle of the body. After the body timeout it gets an
+// error, and its connection is closed, as the rest of the body could be read as the
+// next request.
 func TestSlowBodyIsRefused(t *testing.T) {
 	f := startFleet(t, smallLimits)
-	before := least(t)
+	before := minUsage(t)
 	conn := dial(t, f.entry.Address())
 	_, _ = io.WriteString(conn, "POST "+chatPath+" HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer "+f.key+
 		"\r\nContent-Type: application/json\r\nContent-Length: 1000\r\n\r\n{")
@@ -129,19 +131,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	expectProblem(t, res, http.StatusRequestTimeout, "slowSender")
+	expectAPIError(t, res, http.StatusRequestTimeout, "slowSender")
 	if _, err := reader.ReadByte(); err != io.EOF {
 		t.Errorf("after the answer: got error %v, want the connection closed", err)
 	}
 	_ = conn.Close()
-	expectNoMore(t, before)
+	expectNoLeak(t, before)
 }
 
-// Senders that never end their headers, send what is not HTTP, or headers far
-// beyond the limit: each connection is closed, and none is left behind.
-func TestBrokenSendersAreClosed(t *testing.T) {
+// Clients send nothing, headers that never end, bytes that aren't HTTP, headers far
+// beyond the limit, or contradicting body lengths. Each connection is closed without a
+// successful response and without a leak, and the entry still serves valid requests.
+func TestBrokenConnectionsAreClosed(t *testing.T) {
 	f := startFleet(t, smallLimits)
-	before := least(t)
+	before := minUsage(t)
 	for _, sent := range []string{
 		"",
 		"GET / HTTP/1.1\r\nHost: x\r\nX-Slow: ",
@@ -157,19 +160,18 @@
 		}
 		_ = conn.Close()
 	}
-	if got, want := f.chatStatus(t), http.StatusOK; got != want {
-		t.Errorf("a good request afterwards: got status %d, want %d", got, want)
+	if got, want := f.sendChat(t), http.StatusOK; got != want {
+		t.Errorf("a valid request afterwards: got status %d, want %d", got, want)
 	}
-	expectNoMore(t, before)
+	expectNoLeak(t, before)
 }
 
-// A caller opens connections without end. Those beyond the limit are closed at
-// once, the others are still served, and a place that is given back can be
-// taken again.
+// A client opens more connections than the limit. Those beyond it are closed at once,
+// the others are still served, and closing one makes room for another.
 func TestConnectionsBeyondTheLimitAreClosed(t *testing.T) {
 	const limit = 8
 	f := startFleet(t, func(c *burdocksettings.Common) { c.Limits.MaxConnections = limit })
-	before := least(t)
+	before := minUsage(t)
 	var conns []net.Conn
 	for range limit {
 		conns = append(conns, dial(t, f.entry.Address()))
@@ -189,6 +191,6 @@
 	for _, conn := range conns {
 		_ = conn.Close()
 	}
-	burdockprograms.Eventually(t, "places that were given back are taken", func() bool { return f.chatStatus(t) == http.StatusOK })
-	expectNoMore(t, before)
+	burdockprograms.Eventually(t, "new connections are accepted after the others closed", func() bool { return f.sendChat(t) == http.StatusOK })
+	expectNoLeak(t, before)
 }
--- a/internal/proof/burdockdoor/fleet_test.go
+++ b/internal/proof/burdockdoor/fleet_test.go
@@ -1,5 +1,5 @@
-// Package burdockdoor proves that bad input is turned away at each door of an
-// entry and an agent, and leaves nothing behind.
+// Package burdockdoor tests that each listener of an entry and an agent rejects
+// invalid input without leaking goroutines or file descriptors.
 package burdockdoor
 
 import (
@@ -32,7 +32,7 @@
 	upstream  = "llm-pool-01"
 )
 
-// fleet is one entry and one agent in this process.
+// fleet is one entry and one agent that run in the test process.
 type fleet struct {
 	engine *burdockstandin.Running
 	agent  *burdockprocess.Agent
@@ -40,14 +40,13 @@
 	key    string
 }
 
-// startFleet starts a fleet whose processes have common settings that change
-// edits.
+// startFleet starts a fleet; change edits the common settings of entry and agent.
 func startFleet(t *testing.T, change func(*burdocksettings.Common)) *fleet {
 	t.Helper()
 	f := &fleet{key: burdockkey.New()}
-	store := standin(t, burdockstandin.Config{Kind: burdockstandin.Store})
-	list := standin(t, burdockstandin.Config{Kind: burdockstandin.List})
-	f.engine = standin(t, burdockstandin.Config{Kind: burdockstandin.Engine, Engine: burdockfakeengine.Config{Models: []string{modelName}}})
+	store := startStandin(t, burdockstandin.Config{Kind: burdockstandin.Store})
+	list := startStandin(t, burdockstandin.Config{Kind: burdockstandin.List})
+	f.engine = startStandin(t, burdockstandin.Config{Kind: burdockstandin.Engine, Engine: burdockfakeengine.Config{Models: []string{modelName}}})
 	common := func(c *burdocksettings.Common, vm string) {
 		c.Site, c.DataCentre = "gt-gua", "gua-hall-a"
 		c.PeerListen, c.AdminListen = anyPort, anyPort
@@ -76,7 +75,7 @@
 	return f
 }
 
-func standin(t *testing.T, cfg burdockstandin.Config) *burdockstandin.Running {
+func startStandin(t *testing.T, cfg burdockstandin.Config) *burdockstandin.Running {
 	t.Helper()
 	cfg.Address = anyPort
 	running, err := burdockstandin.Start(cfg)
@@ -87,7 +86,8 @@
 	return running
 }
 
-// configure puts a small fleet in force, and waits until both hold it.
+// configure writes the configuration of a fleet with one upstream to the store, and
+// waits until entry and agent apply it and serve a request.
 func (f *fleet) configure(t *testing.T, store string) {
 	t.Helper()
 	var profile burdockprofile.Profile
@@ -116,8 +116,8 @@
 	for _, entity := range append(profiles, members...) {
 		f.write(t, writer, entity)
 	}
-	burdockprograms.Eventually(t, "entry and agent hold the configuration", func() bool {
-		return f.entry.Ready() == "" && f.agent.Ready() == "" && f.entry.Digest() == f.agent.Digest() && f.chatStatus(t) == http.StatusOK
+	burdockprograms.Eventually(t, "entry and agent apply the configuration", func() bool {
+		return f.entry.Ready() == "" && f.agent.Ready() == "" && f.entry.Digest() == f.agent.Digest() && f.sendChat(t) == http.StatusOK
 	})
 }
 
@@ -130,8 +130,9 @@
 
 const chatBody = `{"model":"netlist-writer","max_tokens":2,"messages":[{"role":"user","content":"hello"}]}`
 
-// chatStatus sends a good request and returns its status.
-func (f *fleet) chatStatus(t *testing.T) int {
+// sendChat sends a valid request and returns the response's status, or 0 if there
+// is no response.
+func (f *fleet) sendChat(t *testing.T) int {
 	t.Helper()
 	req := f.request(t, http.MethodPost, "/v1/chat/completions", chatBody)
 	res, err := http.DefaultClient.Do(req)
@@ -153,12 +154,12 @@
 	return req
 }
 
-// runs returns how many requests reached the engine.
+// runs returns how many requests the engine has started.
 func (f *fleet) runs(t *testing.T) int {
 	t.Helper()
 	var runs burdockfakeengine.Runs
 	if !burdockprograms.GetJSON("http://"+f.engine.Address()+"/runs", &runs) {
-		t.Fatal("the engine does not tell its counts")
+		t.Fatal("the engine does not report its counts")
 	}
 	n := 0
 	for _, count := range runs.Started {
@@ -167,45 +168,45 @@
 	return n
 }
 
-// held is what a process holds of what can leak.
-type held struct{ goroutines, descriptors int }
+// resourceUsage counts what can leak in the process.
+type resourceUsage struct{ goroutines, descriptors int }
 
-func holding(t *testing.T) held {
+func currentUsage(t *testing.T) resourceUsage {
 	t.Helper()
 	http.DefaultClient.CloseIdleConnections()
 	entries, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return held{goroutines: runtime.NumGoroutine(), descriptors: len(entries)}
+	return resourceUsage{goroutines: runtime.NumGoroutine(), descriptors: len(entries)}
 }
 
-// expectNoMore waits until no more is held than before. Idle connections among
-// the processes come and go, so the least of a while before is compared with
-// the least of a while after.
-func expectNoMore(t *testing.T, before held) {
+// expectNoLeak waits until the process uses no more than before. Idle connections
+// between the components open and close, so it compares the minimum of several samples
+// before with that after.
+func expectNoLeak(t *testing.T, before resourceUsage) {
 	t.Helper()
-	burdockprograms.Eventually(t, "goroutines and descriptors are back where they were", func() bool {
-		now := least(t)
+	burdockprograms.Eventually(t, "goroutines and descriptors are no more than before", func() bool {
+		now := minUsage(t)
 		return now.goroutines <= before.goroutines && now.descriptors <= before.descriptors
 	})
 }
 
-const leastOver = 20
+const usageSamples = 20
 
-func least(t *testing.T) held {
+func minUsage(t *testing.T) resourceUsage {
 	t.Helper()
-	smallest := holding(t)
-	for range leastOver {
+	smallest := currentUsage(t)
+	for range usageSamples {
 		time.Sleep(10 * time.Millisecond)
-		now := holding(t)
+		now := currentUsage(t)
 		smallest.goroutines = min(smallest.goroutines, now.goroutines)
 		smallest.descriptors = min(smallest.descriptors, now.descriptors)
 	}
 	return smallest
 }
 
-// smallLimits are limits that a test can reach.
+// smallLimits sets limits that a test can reach quickly.
 func smallLimits(c *burdocksettings.Common) {
 	c.Limits.MaxHeaderBytes = 4 << 10
 	c.Limits.MaxBodyBytes = 4 << 10
--- a/internal/proof/burdockdoor/peer_test.go
+++ b/internal/proof/burdockdoor/peer_test.go
@@ -21,7 +21,7 @@
 	})
 }
 
-// offer offers a request to the agent and returns its first answer.
+// offer sends a request to the agent and returns the first event of the response.
 func (f *fleet) offer(t *testing.T, req *connect.Request[burdockwire.RunRequest]) (*burdockwire.RunEvent, error) {
 	t.Helper()
 	client := burdockwire.NewAgentServiceClient(http.DefaultClient, "http://"+f.agent.PeerAddress())
@@ -36,12 +36,12 @@
 	return stream.Msg(), nil
 }
 
-// A peer sends a message without end, one for another upstream, what is no
-// message at all, or stops in the middle. None of it reaches the engine, and
-// the agent holds no more than before.
-func TestBadPeersReachNoEngine(t *testing.T) {
+// A peer sends a message beyond the size limit, one for another upstream, malformed
+// messages, or stops in the middle of one. Nothing reaches the engine, and no goroutine
+// or descriptor leaks.
+func TestInvalidPeerMessagesAreRejected(t *testing.T) {
 	f := startFleet(t, smallLimits)
-	ran, before := f.runs(t), least(t)
+	runsBefore, before := f.runs(t), minUsage(t)
 	if _, err := f.offer(t, runRequest(upstream, make([]byte, 5<<20))); connect.CodeOf(err) != connect.CodeResourceExhausted {
 		t.Errorf("a message beyond the limit: got %v, want %v", err, connect.CodeResourceExhausted)
 	}
@@ -64,39 +64,38 @@
 	_, _ = io.WriteString(conn, "POST "+burdockwire.AgentServiceRunProcedure+" HTTP/1.1\r\nHost: x\r\n"+
 		"Content-Type: application/connect+proto\r\nContent-Length: 1000\r\n\r\n\x00")
 	if answer, _ := io.ReadAll(conn); !strings.Contains(string(answer), `"error"`) {
-		t.Errorf("a message that stops: got %.80q, want an error and the connection closed", answer)
+		t.Errorf("an incomplete message: got %.80q, want an error and the connection closed", answer)
 	}
 	_ = conn.Close()
-	if got, want := f.runs(t), ran; got != want {
+	if got, want := f.runs(t), runsBefore; got != want {
 		t.Errorf("runs at the engine: got %d, want %d", got, want)
 	}
-	expectNoMore(t, before)
+	expectNoLeak(t, before)
 }
 
-// Entry and agent know each other by certificates of the site's authority. A
-// request goes through; whoever speaks plain text to a peer's door, shows no
-// certificate, or one of another authority, is turned away before any message
-// is read.
-func TestPeerDoorsTakeMutualTLSAlone(t *testing.T) {
-	ours, theirs := burdockauthority.New(t), burdockauthority.New(t)
+// Entry and agent authenticate each other with certificates of the site's certificate
+// authority, and a request passes. A peer that uses plain text, no certificate, or one
+// of another authority is rejected before any message is read.
+func TestPeerListenersRequireMutualTLS(t *testing.T) {
+	siteCA, otherCA := burdockauthority.New(t), burdockauthority.New(t)
 	f := startFleet(t, func(c *burdocksettings.Common) {
-		pair := ours.Issue(t)
+		pair := siteCA.Issue(t)
 		c.PlainText = ""
-		c.TLS = burdocksettings.TLS{Mode: burdocksettings.TLSModeMutual, Cert: pair.Cert, Key: pair.Key, CA: ours.PEM()}
+		c.TLS = burdocksettings.TLS{Mode: burdocksettings.TLSModeMutual, Cert: pair.Cert, Key: pair.Key, CA: siteCA.PEM()}
 	})
-	ran := f.runs(t)
-	if ran == 0 {
-		t.Error("no request went through with TLS")
+	runsBefore := f.runs(t)
+	if runsBefore == 0 {
+		t.Error("no request reached the engine with TLS")
 	}
 	if _, err := f.offer(t, runRequest(upstream, nil)); err == nil {
 		t.Error("plain text to the agent: got no error, want one")
 	}
-	pair := theirs.Issue(t)
-	wrong, err := tls.X509KeyPair([]byte(pair.Cert), []byte(pair.Key))
+	pair := otherCA.Issue(t)
+	otherPair, err := tls.X509KeyPair([]byte(pair.Cert), []byte(pair.Key))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, certificates := range map[string][]tls.Certificate{"no certificate": nil, "another authority": {wrong}} {
+	for name, certificates := range map[string][]tls.Certificate{"no certificate": nil, "another authority": {otherPair}} {
 		for _, address := range []string{f.agent.PeerAddress(), f.entry.PeerAddress()} {
 			transport := &http.Transport{TLSClientConfig: &tls.Config{InsecureSkipVerify: true, Certificates: certificates}}
 			res, err := (&http.Client{Transport: transport}).Post("https://"+address+burdockwire.AgentServiceRunProcedure, "application/connect+proto", strings.NewReader(""))
@@ -107,7 +106,7 @@
 			transport.CloseIdleConnections()
 		}
 	}
-	if got, want := f.runs(t), ran; got != want {
+	if got, want := f.runs(t), runsBefore; got != want {
 		t.Errorf("runs at the engine: got %d, want %d", got, want)
 	}
 }
