--- a/internal/proof/burdockwhole/whole_test.go
+++ b/internal/proof/burdockwhole/whole_test.go
@@ -1,5 +1,5 @@
-// Package burdockwhole tests the whole path with the built programs as
-// separate processes.
+// Package burdockwhole tests the whole path of a request, from the entry through the
+// agent to the engine, with the built programs as separate processes.
 package burdockwhole
 
 import (
@@ -60,24 +60,24 @@
 	if got.Err != nil || got.Status != http.StatusOK {
 		t.Fatalf("got status %d (%v), want 200", got.Status, got.Err)
 	}
-	text, done := streamText(t, got.Body)
-	if want := burdockprograms.ChatWords(prompt, tokens); text != want || !done {
-		t.Errorf("stream: got %q done %v, want %q and the end mark", text, done, want)
+	text, ended := streamText(t, got.Body)
+	if want := burdockprograms.ChatWords(prompt, tokens); text != want || !ended {
+		t.Errorf("stream: got %q, end marker %v, want %q and the end marker", text, ended, want)
 	}
 }
 
-// streamText returns the text of a stream, and whether its end mark came.
+// streamText returns the text of a stream and whether it contains the end marker.
 func streamText(t *testing.T, body string) (string, bool) {
 	t.Helper()
 	var text strings.Builder
-	done := false
+	ended := false
 	for line := range strings.SplitSeq(body, "\n") {
 		data, ok := strings.CutPrefix(line, "data: ")
 		if !ok {
 			continue
 		}
 		if data == "[DONE]" {
-			done = true
+			ended = true
 			continue
 		}
 		var event struct {
@@ -88,7 +88,7 @@
 		}
 		text.WriteString(event.Choices[0].Delta.Content)
 	}
-	return text.String(), done
+	return text.String(), ended
 }
 
 func testPlain(ctx context.Context, t *testing.T, f *burdockprograms.Fleet, e *burdockprograms.Entry) {
@@ -120,16 +120,16 @@
 	}
 	for _, c := range cases {
 		got := f.Send(ctx, e, c.call)
-		var problem struct{ Error struct{ Code string } }
-		_ = json.Unmarshal([]byte(got.Body), &problem)
-		if got.Status != c.status || problem.Error.Code != c.code || !got.NotRun() {
-			t.Errorf("%s: got %d %q not run %v, want %d %q not run", c.name, got.Status, problem.Error.Code, got.NotRun(), c.status, c.code)
+		var apiError struct{ Error struct{ Code string } }
+		_ = json.Unmarshal([]byte(got.Body), &apiError)
+		if got.Status != c.status || apiError.Error.Code != c.code || !got.NotRun() {
+			t.Errorf("%s: got %d %q not run %v, want %d %q not run", c.name, got.Status, apiError.Error.Code, got.NotRun(), c.status, c.code)
 		}
 	}
 }
 
-// An operator applies a profile while requests are served; every process has
-// it in force, and the list shows its version.
+// An operator applies a changed profile to the running fleet. Every agent reports
+// version 2 in its state, and the list of profiles shows it.
 func testProfile(t *testing.T, f *burdockprograms.Fleet) {
 	f.ApplyProfile(t, f.ProfileTOML(77))
 	f.WaitReady(t)
@@ -148,7 +148,7 @@
 	state := f.Operate(t, "state", f.Entries[0].Admin)
 	for _, want := range []string{`"role": "entry"`, `"decisions"`, `"accounts"`, `"answered"`} {
 		if !strings.Contains(state, want) {
-			t.Errorf("state of the entry lacks %s", want)
+			t.Errorf("state of the entry does not contain %s", want)
 		}
 	}
 	if got, want := strings.Contains(state, f.Key), false; got != want {
