--- a/internal/proof/burdocksoak/check_test.go
+++ b/internal/proof/burdocksoak/check_test.go
@@ -10,121 +10,123 @@
 	"burdockbend.example/burdockbend/internal/proof/burdockprograms"
 )
 
-// checker compares what callers were told with what the upstreams counted.
+// checker compares the answers that callers received with the runs that the upstreams
+// counted.
 type checker struct {
-	fleet   *burdockprograms.Fleet
-	sent    []burdockprograms.Sent
-	applied int
-	seen    []reading
-	kinds   map[string]int
-	keys    int
-	runs    int
+	fleet        *burdockprograms.Fleet
+	sent         []burdockprograms.Sent
+	profileEdits int
+	versions     []versionReading
+	outcomes     map[string]int
+	keys         int
+	runs         int
 }
 
 func (c *checker) check(t *testing.T) {
 	t.Helper()
-	c.kinds = map[string]int{}
-	byID, byKey := c.counts()
-	c.checkOnce(t, byID, byKey)
-	answers := map[string]string{} // the whole answer that each key has
+	c.outcomes = map[string]int{}
+	runsByID, runsByKey := c.countRuns()
+	c.checkSingleRuns(t, runsByID, runsByKey)
+	answers := map[string]string{} // the complete answer of each key
 	for _, s := range c.sent {
-		c.checkAnswer(t, s, byID, answers)
+		c.checkAnswer(t, s, runsByID, answers)
 	}
 	c.checkVersions(t)
-	c.checkAccounts(t)
+	c.checkCounts(t)
 }
 
-func (c *checker) counts() (map[burdockid.Request]int, map[burdockid.IdempotencyKey]int) {
-	byID, byKey := map[burdockid.Request]int{}, map[burdockid.IdempotencyKey]int{}
+func (c *checker) countRuns() (map[burdockid.Request]int, map[burdockid.IdempotencyKey]int) {
+	runsByID, runsByKey := map[burdockid.Request]int{}, map[burdockid.IdempotencyKey]int{}
 	for _, a := range c.fleet.Agents {
 		runs := a.Upstream.Runs()
 		for id, n := range runs.Started {
-			byID[id] += n
+			runsByID[id] += n
 			c.runs += n
 		}
 		for key, n := range runs.ByKey {
-			byKey[key] += n
+			runsByKey[key] += n
 		}
 	}
-	c.keys = len(byKey)
-	return byID, byKey
+	c.keys = len(runsByKey)
+	return runsByID, runsByKey
 }
 
-// checkOnce: no request ran twice unless it may, and no key did.
-func (c *checker) checkOnce(t *testing.T, byID map[burdockid.Request]int, byKey map[burdockid.IdempotencyKey]int) {
+// checkSingleRuns checks that no idempotency key ran more than once, and no request either
+// unless it is idempotent.
+func (c *checker) checkSingleRuns(t *testing.T, runsByID map[burdockid.Request]int, runsByKey map[burdockid.IdempotencyKey]int) {
 	t.Helper()
-	repeatable := map[burdockid.Request]bool{}
+	idempotent := map[burdockid.Request]bool{}
 	for _, s := range c.sent {
 		if s.Prompt == string(kindIdempotent) {
-			repeatable[idOf(s)] = true
+			idempotent[requestID(s)] = true
 		}
 	}
-	for id, n := range byID {
-		// A request whose caller never saw its id may be an idempotent one.
-		if n > 1 && !repeatable[id] && !c.unseen(id) {
+	for id, n := range runsByID {
+		// A request whose caller did not receive its ID may be an idempotent one.
+		if n > 1 && !idempotent[id] && !c.idNotReceived(id) {
 			t.Errorf("request %s ran %d times, want once", id, n)
 		}
 	}
-	for key, n := range byKey {
+	for key, n := range runsByKey {
 		if n > 1 {
 			t.Errorf("key %s ran %d times, want once", key, n)
 		}
 	}
 }
 
-func (c *checker) unseen(id burdockid.Request) bool {
+func (c *checker) idNotReceived(id burdockid.Request) bool {
 	for _, s := range c.sent {
-		if idOf(s) == id {
+		if requestID(s) == id {
 			return false
 		}
 	}
 	return true
 }
 
-func idOf(s burdockprograms.Sent) burdockid.Request {
+func requestID(s burdockprograms.Sent) burdockid.Request {
 	return burdockid.Request(s.Answer.Header.Get("Burdock-Request-Id"))
 }
 
-// checkAnswer: each request ended with a whole answer of its own, or with an
-// error that is true.
-func (c *checker) checkAnswer(t *testing.T, s burdockprograms.Sent, byID map[burdockid.Request]int, answers map[string]string) {
+// checkAnswer checks that a successful answer is complete, and that a request which
+// its caller was told was not run did not run.
+func (c *checker) checkAnswer(t *testing.T, s burdockprograms.Sent, runsByID map[burdockid.Request]int, answers map[string]string) {
 	t.Helper()
 	a := s.Answer
-	runs := byID[idOf(s)]
+	runs := runsByID[requestID(s)]
 	switch {
 	case a.Err != nil && a.Status == 0:
-		c.kinds["noAnswer"]++ // its entry was killed, or the connection to it
+		c.outcomes["noAnswer"]++ // the entry or the connection to it was lost
 	case a.Err != nil:
-		c.kinds["cut"]++
+		c.outcomes["cut"]++
 	case a.Status == http.StatusOK:
-		c.kinds["whole"]++
-		c.checkWhole(t, s, runs, answers)
+		c.outcomes["whole"]++
+		c.checkComplete(t, s, runs, answers)
 	case a.NotRun():
-		c.kinds["notRun "+problem(a)]++
+		c.outcomes["notRun "+errorCode(a)]++
 		if runs != 0 {
-			t.Errorf("%s %s: told not run, ran %d times", s.Prompt, idOf(s), runs)
+			t.Errorf("%s %s: answered as not run, ran %d times", s.Prompt, requestID(s), runs)
 		}
 	default:
-		c.kinds["unknown "+problem(a)]++
+		c.outcomes["unknown "+errorCode(a)]++
 	}
 }
 
-func problem(a burdockprograms.Answer) string {
+func errorCode(a burdockprograms.Answer) string {
 	var body struct{ Error struct{ Code string } }
 	_ = json.Unmarshal([]byte(a.Body), &body)
 	return body.Error.Code
 }
 
-func (c *checker) checkWhole(t *testing.T, s burdockprograms.Sent, runs int, answers map[string]string) {
+func (c *checker) checkComplete(t *testing.T, s burdockprograms.Sent, runs int, answers map[string]string) {
 	t.Helper()
 	switch kind(strings.SplitN(s.Prompt, " ", 2)[0]) {
 	case kindStream:
 		if !s.Answer.WholeStream(s.Prompt, s.Tokens) || runs != 1 {
-			t.Errorf("%s: body %q, runs %d; want the whole answer of one run", s.Prompt, s.Answer.Body, runs)
+			t.Errorf("%s: body %q, runs %d; want the complete answer of one run", s.Prompt, s.Answer.Body, runs)
 		}
-	case kindWhole:
+	case kindNonStream:
 		if !strings.Contains(s.Answer.Body, `"`+burdockprograms.ChatWords(s.Prompt, s.Tokens)+`"`) || runs != 1 {
-			t.Errorf("%s: body %q, runs %d; want the whole answer of one run", s.Prompt, s.Answer.Body, runs)
+			t.Errorf("%s: body %q, runs %d; want the complete answer of one run", s.Prompt, s.Answer.Body, runs)
 		}
 	case kindKeyed:
 		key := s.Call.Header["Idempotency-Key"]
@@ -133,7 +135,7 @@
 		}
 		answers[key] = s.Answer.Body
 		if events := burdockprograms.ReadStream(s.Answer.Body); !events.Done || events.Problem != "" {
-			t.Errorf("key %s: body %q, want a whole stream", key, s.Answer.Body)
+			t.Errorf("key %s: body %q, want a complete stream", key, s.Answer.Body)
 		}
 	default:
 		if want := `"path":"` + s.Call.Path + `"`; !strings.Contains(s.Answer.Body, want) {
@@ -142,17 +144,18 @@
 	}
 }
 
-// checkVersions: no process went back, and all hold the last edit.
+// checkVersions checks that no watched process returned to an older version of the
+// profile, and that every agent has the last one at the end.
 func (c *checker) checkVersions(t *testing.T) {
 	t.Helper()
 	last := map[string]uint64{}
-	for _, r := range c.seen {
+	for _, r := range c.versions {
 		if r.version < last[r.admin] {
 			t.Errorf("%s went from version %d of the profile back to %d", r.admin, last[r.admin], r.version)
 		}
 		last[r.admin] = r.version
 	}
-	want := uint64(1 + c.applied)
+	want := uint64(1 + c.profileEdits)
 	for _, a := range c.fleet.Agents {
 		var dump struct {
 			Versions map[string]struct{ Version uint64 } `json:"versions"`
@@ -163,8 +166,9 @@
 	}
 }
 
-// checkAccounts: each agent's own accounts add up.
-func (c *checker) checkAccounts(t *testing.T) {
+// checkCounts checks that the outcomes that each agent counted add up to the requests
+// that it was offered.
+func (c *checker) checkCounts(t *testing.T) {
 	t.Helper()
 	for _, a := range c.fleet.Agents {
 		var dump struct {
--- a/internal/proof/burdocksoak/faults_test.go
+++ b/internal/proof/burdocksoak/faults_test.go
@@ -12,29 +12,29 @@
 )
 
 const (
-	faultLeast = 300 * time.Millisecond
-	faultMost  = 6 * time.Second
-	pauseMost  = 1500 * time.Millisecond
-	// togetherMost is how many faults may be in force beside each other.
-	togetherMost = 3
-	stopTimeout  = 90 * time.Second
-	firstQueued  = 300
+	minFaultTime = 300 * time.Millisecond
+	maxFaultTime = 6 * time.Second
+	maxPause     = 1500 * time.Millisecond
+	// maxActiveFaults is the maximum number of faults that are active at the same time.
+	maxActiveFaults = 3
+	stopTimeout     = 90 * time.Second
+	baseMaxQueued   = 300
 )
 
-// faults injects faults one after another; up to three overlap.
+// faults injects random faults, up to three at the same time.
 type faults struct {
 	t      *testing.T
 	fleet  *burdockprograms.Fleet
 	random *rand.Rand
 	counts map[string]int
 	edits  int
-	// busy holds the processes and links that a fault is in force on.
-	busy map[any]bool
-	undo []ongoing
+	// busy holds the processes and links that have an active fault.
+	busy   map[any]bool
+	active []activeFault
 }
 
-// ongoing is a fault that is in force.
-type ongoing struct {
+// activeFault is an injected fault that is to be undone at the time ends.
+type activeFault struct {
 	ends time.Time
 	undo func()
 }
@@ -43,7 +43,7 @@
 	return &faults{t: t, fleet: f, random: random, counts: map[string]int{}, busy: map[any]bool{}}
 }
 
-// inject injects faults for a while.
+// inject injects faults for the duration d.
 func (f *faults) inject(d time.Duration) {
 	kinds := []struct {
 		name string
@@ -55,55 +55,55 @@
 		{"entryKilled", f.killEntry},
 		{"entryFrozen", f.freezeEntry},
 		{"entryStopped", f.stopEntry},
-		{"linkSilent", func() bool { return f.link(burdockstandin.LinkSilent) }},
-		{"linkDark", func() bool { return f.link(burdockstandin.LinkDark) }},
-		{"linkCut", func() bool { return f.link(burdockstandin.LinkCut) }},
-		{"storeDown", func() bool { return f.store(burdockfault.Setting{Mode: burdockfault.Down}) }},
-		{"storeSilent", func() bool { return f.store(burdockfault.Setting{Mode: burdockfault.Silent}) }},
-		{"storeSlow", func() bool { return f.store(burdockfault.Setting{DelayMillis: burdockclock.Second}) }},
-		{"storeLosesAnswers", func() bool { return f.store(burdockfault.Setting{Mode: burdockfault.LostAnswer, Only: "PUT"}) }},
-		{"profileEdited", f.edit},
+		{"linkSilent", func() bool { return f.setLinkMode(burdockstandin.LinkSilent) }},
+		{"linkDark", func() bool { return f.setLinkMode(burdockstandin.LinkDark) }},
+		{"linkCut", func() bool { return f.setLinkMode(burdockstandin.LinkCut) }},
+		{"storeDown", func() bool { return f.setStoreFault(burdockfault.Setting{Mode: burdockfault.Down}) }},
+		{"storeSilent", func() bool { return f.setStoreFault(burdockfault.Setting{Mode: burdockfault.Silent}) }},
+		{"storeSlow", func() bool { return f.setStoreFault(burdockfault.Setting{DelayMillis: burdockclock.Second}) }},
+		{"storeLosesAnswers", func() bool { return f.setStoreFault(burdockfault.Setting{Mode: burdockfault.LostAnswer, Only: "PUT"}) }},
+		{"profileEdited", f.editProfile},
 	}
 	end := time.Now().Add(d)
 	for time.Now().Before(end) {
 		k := kinds[f.random.IntN(len(kinds))]
-		if len(f.undo) < togetherMost && k.fn() {
+		if len(f.active) < maxActiveFaults && k.fn() {
 			f.counts[k.name]++
 		}
-		time.Sleep(time.Duration(f.random.Int64N(int64(pauseMost))))
-		f.end(time.Now())
+		time.Sleep(time.Duration(f.random.Int64N(int64(maxPause))))
+		f.undoExpired(time.Now())
 	}
 }
 
-// heal ends all faults.
-func (f *faults) heal() { f.end(time.Now().Add(time.Hour)) }
+// undoAll undoes all active faults.
+func (f *faults) undoAll() { f.undoExpired(time.Now().Add(time.Hour)) }
 
-func (f *faults) end(now time.Time) {
-	var rest []ongoing
-	for _, o := range f.undo {
-		if o.ends.After(now) {
-			rest = append(rest, o)
+func (f *faults) undoExpired(now time.Time) {
+	var remaining []activeFault
+	for _, fault := range f.active {
+		if fault.ends.After(now) {
+			remaining = append(remaining, fault)
 			continue
 		}
-		o.undo()
+		fault.undo()
 	}
-	f.undo = rest
+	f.active = remaining
 }
 
-// begin records a fault on something, to be undone after a random time.
-func (f *faults) begin(on any, undo func()) bool {
-	f.busy[on] = true
-	length := faultLeast + time.Duration(f.random.Int64N(int64(faultMost-faultLeast)))
-	f.undo = append(f.undo, ongoing{ends: time.Now().Add(length), undo: func() {
+// recordFault records an active fault of the target, to be undone after a random time.
+func (f *faults) recordFault(target any, undo func()) bool {
+	f.busy[target] = true
+	length := minFaultTime + time.Duration(f.random.Int64N(int64(maxFaultTime-minFaultTime)))
+	f.active = append(f.active, activeFault{ends: time.Now().Add(length), undo: func() {
 		undo()
-		delete(f.busy, on)
+		delete(f.busy, target)
 	}})
 	return true
 }
 
-// agent returns an agent that no fault is in force on. One stays untouched, so
-// that callers can be served at all times.
-func (f *faults) agent() *burdockprograms.Agent {
+// chooseAgent returns a random agent, or nil if it has an active fault. The first agent is
+// never chosen, so that callers can be served at all times.
+func (f *faults) chooseAgent() *burdockprograms.Agent {
 	a := f.fleet.Agents[1+f.random.IntN(len(f.fleet.Agents)-1)]
 	if f.busy[a] {
 		return nil
@@ -111,8 +111,8 @@
 	return a
 }
 
-// entry returns the second entry, unless a fault is in force on it.
-func (f *faults) entry() *burdockprograms.Entry {
+// chooseEntry returns the second entry, or nil if it has an active fault.
+func (f *faults) chooseEntry() *burdockprograms.Entry {
 	e := f.fleet.Entries[1]
 	if f.busy[e] {
 		return nil
@@ -121,30 +121,30 @@
 }
 
 func (f *faults) killAgent() bool {
-	a := f.agent()
+	a := f.chooseAgent()
 	if a == nil {
 		return false
 	}
 	a.Kill()
-	return f.begin(a, func() { f.fleet.StartAgent(f.t, a) })
+	return f.recordFault(a, func() { f.fleet.StartAgent(f.t, a) })
 }
 
 func (f *faults) freezeAgent() bool {
-	a := f.agent()
+	a := f.chooseAgent()
 	if a == nil {
 		return false
 	}
 	a.Freeze()
-	return f.begin(a, a.Thaw)
+	return f.recordFault(a, a.Thaw)
 }
 
 func (f *faults) stopAgent() bool {
-	a := f.agent()
+	a := f.chooseAgent()
 	if a == nil {
 		return false
 	}
 	a.Terminate()
-	return f.begin(a, func() {
+	return f.recordFault(a, func() {
 		if got, want := a.Wait(f.t, stopTimeout), 0; got != want {
 			f.t.Errorf("%s: exit status of the planned stop: got %d, want %d", a.Name, got, want)
 		}
@@ -153,30 +153,30 @@
 }
 
 func (f *faults) killEntry() bool {
-	e := f.entry()
+	e := f.chooseEntry()
 	if e == nil {
 		return false
 	}
 	e.Kill()
-	return f.begin(e, func() { f.fleet.StartEntry(f.t, e) })
+	return f.recordFault(e, func() { f.fleet.StartEntry(f.t, e) })
 }
 
 func (f *faults) freezeEntry() bool {
-	e := f.entry()
+	e := f.chooseEntry()
 	if e == nil {
 		return false
 	}
 	e.Freeze()
-	return f.begin(e, e.Thaw)
+	return f.recordFault(e, e.Thaw)
 }
 
 func (f *faults) stopEntry() bool {
-	e := f.entry()
+	e := f.chooseEntry()
 	if e == nil {
 		return false
 	}
 	e.Terminate()
-	return f.begin(e, func() {
+	return f.recordFault(e, func() {
 		if got, want := e.Wait(f.t, stopTimeout), 0; got != want {
 			f.t.Errorf("%s: exit status of the planned stop: got %d, want %d", e.Name, got, want)
 		}
@@ -184,29 +184,29 @@
 	})
 }
 
-func (f *faults) link(mode burdockstandin.LinkMode) bool {
+func (f *faults) setLinkMode(mode burdockstandin.LinkMode) bool {
 	a := f.fleet.Agents[f.random.IntN(len(f.fleet.Agents))]
 	if f.busy[a.Link] {
 		return false
 	}
 	a.Link.Set(f.t, mode)
-	return f.begin(a.Link, func() { a.Link.Set(f.t, burdockstandin.LinkOpen) })
+	return f.recordFault(a.Link, func() { a.Link.Set(f.t, burdockstandin.LinkOpen) })
 }
 
-func (f *faults) store(setting burdockfault.Setting) bool {
+func (f *faults) setStoreFault(setting burdockfault.Setting) bool {
 	if f.busy[f.fleet.Store] {
 		return false
 	}
 	f.fleet.Store.SetFault(f.t, setting)
-	return f.begin(f.fleet.Store, func() { f.fleet.Store.SetFault(f.t, burdockfault.Setting{}) })
+	return f.recordFault(f.fleet.Store, func() { f.fleet.Store.SetFault(f.t, burdockfault.Setting{}) })
 }
 
-// edit has an operator apply a profile that differs from the one before.
-func (f *faults) edit() bool {
+// editProfile applies a profile that differs from the previous one, as an operator does.
+func (f *faults) editProfile() bool {
 	if f.busy[f.fleet.Store] {
 		return false
 	}
 	f.edits++
-	f.fleet.ApplyProfile(f.t, f.fleet.ProfileTOML(firstQueued+f.edits))
+	f.fleet.ApplyProfile(f.t, f.fleet.ProfileTOML(baseMaxQueued+f.edits))
 	return true
 }
--- a/internal/proof/burdocksoak/mix_test.go
+++ b/internal/proof/burdocksoak/mix_test.go
@@ -9,35 +9,35 @@
 	"burdockbend.example/burdockbend/internal/proof/burdockprograms"
 )
 
-// kind is a sort of request in the mix.
+// kind is a kind of request in the load.
 type kind string
 
 const (
 	kindStream     kind = "stream"
-	kindWhole      kind = "whole"
+	kindNonStream  kind = "whole"
 	kindKeyed      kind = "keyed"
 	kindIdempotent kind = "idempotent"
 	kindPlain      kind = "plain"
 )
 
-// repeats is how often a caller sends a request with a key, whatever comes of
-// the first: three times out of four it goes on to a new one.
+// repeatShare is the share of requests with an idempotency key that repeat the caller's
+// last such request, whatever its outcome was.
 const repeatShare = 0.5
 
-// mix makes the callers' requests.
+// mix generates the callers' requests.
 type mix struct {
-	mu     sync.Mutex
-	random *rand.Rand
-	last   map[int]burdockprograms.Call // the last call with a key, by caller
-	seed   uint64
+	mu        sync.Mutex
+	random    *rand.Rand
+	lastKeyed map[int]burdockprograms.Call // the last call with an idempotency key, by caller
+	seed      uint64
 }
 
 func newMix(seed uint64) *mix {
-	return &mix{random: rand.New(rand.NewPCG(seed, 2)), last: map[int]burdockprograms.Call{}, seed: seed}
+	return &mix{random: rand.New(rand.NewPCG(seed, 2)), lastKeyed: map[int]burdockprograms.Call{}, seed: seed}
 }
 
-// next returns the next call of a caller. The prompt names the kind, so that
-// the check knows what to expect of the answer.
+// next returns the prompt, the number of tokens and the call for a caller's request n.
+// The prompt begins with the kind, which tells the check what answer to expect.
 func (m *mix) next(caller, n int) (string, int, burdockprograms.Call) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -47,7 +47,7 @@
 		prompt := fmt.Sprintf("%s seed %d caller %d call %d", kindStream, m.seed, caller, n)
 		return prompt, tokens, burdockprograms.Chat(prompt, tokens, true)
 	case 4, 5:
-		prompt := fmt.Sprintf("%s seed %d caller %d call %d", kindWhole, m.seed, caller, n)
+		prompt := fmt.Sprintf("%s seed %d caller %d call %d", kindNonStream, m.seed, caller, n)
 		return prompt, tokens, burdockprograms.Chat(prompt, tokens, false)
 	case 6, 7:
 		return m.keyed(caller, n, tokens)
@@ -58,13 +58,14 @@
 	}
 }
 
-// keyed repeats the caller's last key, or makes a new one.
+// keyed repeats the caller's last call with an idempotency key, or creates one with a
+// new key.
 func (m *mix) keyed(caller, n, tokens int) (string, int, burdockprograms.Call) {
-	if call, ok := m.last[caller]; ok && m.random.Float64() < repeatShare {
+	if call, ok := m.lastKeyed[caller]; ok && m.random.Float64() < repeatShare {
 		return string(kindKeyed), 0, call
 	}
 	call := burdockprograms.Chat(fmt.Sprintf("%s seed %d caller %d call %d", kindKeyed, m.seed, caller, n), tokens, true)
 	call.Header = map[string]string{"Idempotency-Key": fmt.Sprintf("key-%d-%d-%d", m.seed, caller, n)}
-	m.last[caller] = call
+	m.lastKeyed[caller] = call
 	return string(kindKeyed), 0, call
 }
--- a/internal/proof/burdocksoak/watch_test.go
+++ b/internal/proof/burdocksoak/watch_test.go
@@ -7,54 +7,54 @@
 	"burdockbend.example/burdockbend/internal/proof/burdockprograms"
 )
 
-const watchEvery = 200 * time.Millisecond
+const watchInterval = 200 * time.Millisecond
 
-// reading is the version of the profile that one process had in force.
-type reading struct {
+// versionReading is the version of the profile that a process had applied.
+type versionReading struct {
 	admin   string
 	version uint64
 }
 
-// watch reads the version of the profile in every process all the while.
-type watch struct {
-	fleet *burdockprograms.Fleet
-	end   chan struct{}
-	done  sync.WaitGroup
-	seen  []reading
+// versionWatcher polls the version of the profile at the first entry and the first agent.
+type versionWatcher struct {
+	fleet    *burdockprograms.Fleet
+	stopping chan struct{}
+	done     sync.WaitGroup
+	versions []versionReading
 }
 
-func startWatch(f *burdockprograms.Fleet) *watch {
-	w := &watch{fleet: f, end: make(chan struct{})}
+func startVersionWatcher(f *burdockprograms.Fleet) *versionWatcher {
+	w := &versionWatcher{fleet: f, stopping: make(chan struct{})}
 	w.done.Add(1)
 	go w.run()
 	return w
 }
 
-func (w *watch) stop() {
-	close(w.end)
+func (w *versionWatcher) stop() {
+	close(w.stopping)
 	w.done.Wait()
 }
 
-func (w *watch) run() {
+func (w *versionWatcher) run() {
 	defer w.done.Done()
 	for {
 		select {
-		case <-w.end:
+		case <-w.stopping:
 			return
-		case <-time.After(watchEvery):
+		case <-time.After(watchInterval):
 			w.read(w.fleet.Entries[0].Admin)
 			w.read(w.fleet.Agents[0].Admin)
 		}
 	}
 }
 
-func (w *watch) read(admin string) {
+func (w *versionWatcher) read(admin string) {
 	var dump struct {
 		Versions map[string]struct {
 			Version uint64 `json:"version"`
 		} `json:"versions"`
 	}
 	if burdockprograms.GetJSON("http://"+admin+"/state", &dump) {
-		w.seen = append(w.seen, reading{admin: admin, version: dump.Versions["profile/bench"].Version})
+		w.versions = append(w.versions, versionReading{admin: admin, version: dump.Versions["profile/bench"].Version})
 	}
 }
