--- a/cmd/burdock-hosted/main.go
+++ b/cmd/burdock-hosted/main.go
@@ -1,5 +1,5 @@
-// Command burdock-hosted runs an entry or an agent on the users' platform, by
-// the settings that the platform gives. See docs/OPERATIONS.md.
+// Command burdock-hosted runs an entry or an agent on the users' platform, with
+// the settings that the platform provides. See docs/OPERATIONS.md.
 package main
 
 import (
@@ -16,15 +16,16 @@
 	"go.uber.org/zap"
 )
 
-// memoryPercent of what the VM gives is where the runtime begins to collect
-// garbage more often: a process beyond all of it is killed.
-const memoryPercent = 60
+// memoryLimitPercent is the runtime's soft memory limit as a percentage of the
+// memory that the VM gives the process. Near the limit the garbage collector runs more
+// often; a process that uses more than the VM gives is killed.
+const memoryLimitPercent = 60
 
 func main() { os.Exit(run()) }
 
 func run() int {
-	// First of all, so that a stop that comes while the process starts is a
-	// planned one too.
+	// Registered first, so that a stop signal during startup also leads to a
+	// planned stop.
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	settings, err := burdockplatform.LoadSettings()
@@ -32,11 +33,11 @@
 		fmt.Fprintln(os.Stderr, err)
 		return burdockmain.ExitUsage
 	}
-	debug.SetMemoryLimit(int64(settings.MemoryMB) << 20 * memoryPercent / 100)
-	lines := burdocklog.NewWriter(os.Stdout)
-	defer lines.Close()
+	debug.SetMemoryLimit(int64(settings.MemoryMB) << 20 * memoryLimitPercent / 100)
+	logWriter := burdocklog.NewWriter(os.Stdout)
+	defer logWriter.Close()
 	level := zap.NewAtomicLevelAt(burdocklog.Level(settings.LogLevel))
-	log := burdocklog.New(lines, level)
+	log := burdocklog.New(logWriter, level)
 	defer burdocklog.RedirectStdLog(log)()
 	client := burdockplatform.NewClient(settings.StoreAddress)
 	platform := burdockhosted.Platform{
@@ -52,7 +53,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		return burdockmain.ExitFailure
 	}
-	(&follower{load: burdockplatform.LoadSettings, inForce: settings, last: settings, level: level, log: log}).follow(signals)
+	(&settingsWatcher{load: burdockplatform.LoadSettings, startup: settings, latest: settings, level: level, log: log}).run(signals)
 	process.Stop()
 	return burdockmain.ExitOK
 }
--- a/cmd/burdock-hosted/reload.go
+++ b/cmd/burdock-hosted/reload.go
@@ -10,23 +10,23 @@
 	"go.uber.org/zap"
 )
 
-// settingsEvery is how often it is looked whether the settings have changed
-// without a signal. To read them takes some tens of microseconds.
-const settingsEvery = 5 * time.Second
+// settingsPollInterval is how often the settings are checked for a change that no
+// signal announced. Reading them takes some tens of microseconds.
+const settingsPollInterval = 5 * time.Second
 
-// follower takes over changed settings while a process runs.
-type follower struct {
-	load    func() (burdocksettings.Hosted, error)
-	inForce burdocksettings.Hosted // that the process started with
-	last    burdocksettings.Hosted // that were read last
-	failed  bool                   // the last reading failed
-	level   zap.AtomicLevel
-	log     *zap.Logger
+// settingsWatcher applies changed settings while a process runs.
+type settingsWatcher struct {
+	load       func() (burdocksettings.Hosted, error)
+	startup    burdocksettings.Hosted // in effect since the process started
+	latest     burdocksettings.Hosted // most recently loaded without an error
+	loadFailed bool                   // the most recent load failed
+	level      zap.AtomicLevel
+	log        *zap.Logger
 }
 
-// follow returns when the process is to stop.
-func (f *follower) follow(signals <-chan os.Signal) {
-	ticker := time.NewTicker(settingsEvery)
+// run watches signals and settings; it returns when the process is to stop.
+func (w *settingsWatcher) run(signals <-chan os.Signal) {
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -34,28 +34,28 @@
 			if sig != syscall.SIGHUP {
 				return
 			}
-			f.read(true)
+			w.reload(true)
 		case <-ticker.C:
-			f.read(false)
+			w.reload(false)
 		}
 	}
 }
 
-// read checks the settings as they are now and takes over what a running process
-// can. Unless it was asked to, it says only what is new.
-func (f *follower) read(asked bool) {
-	now, err := f.load()
+// reload loads the settings and applies those that can change at run time. When not
+// requested by a signal, it logs only changes, the first of repeated failures and the recovery.
+func (w *settingsWatcher) reload(requested bool) {
+	now, err := w.load()
 	if err != nil {
-		if asked || !f.failed {
-			f.log.Error("settings not usable; those in force stay", zap.Error(err))
+		if requested || !w.loadFailed {
+			w.log.Error("settings not usable; those in force stay", zap.Error(err))
 		}
-		f.failed = true
+		w.loadFailed = true
 		return
 	}
-	if !asked && !f.failed && now == f.last {
+	if !requested && !w.loadFailed && now == w.latest {
 		return
 	}
-	f.failed, f.last = false, now
-	f.level.SetLevel(burdocklog.Level(now.LogLevel))
-	f.log.Info("settings read again", zap.String("logLevel", now.LogLevel), zap.Strings("needStart", f.inForce.RestartRequired(now)))
+	w.loadFailed, w.latest = false, now
+	w.level.SetLevel(burdocklog.Level(now.LogLevel))
+	w.log.Info("settings read again", zap.String("logLevel", now.LogLevel), zap.Strings("needStart", w.startup.RestartRequired(now)))
 }
--- a/cmd/burdock-hosted/reload_test.go
+++ b/cmd/burdock-hosted/reload_test.go
@@ -21,8 +21,8 @@
 logLevel = "info"
 `
 
-// newFollower returns a follower of a settings file, and what it logs.
-func newFollower(t *testing.T, file string) (*follower, *observer.ObservedLogs) {
+// newSettingsWatcher returns a watcher of a settings file and the log lines it writes.
+func newSettingsWatcher(t *testing.T, file string) (*settingsWatcher, *observer.ObservedLogs) {
 	t.Helper()
 	write(t, file, testSettings)
 	load := func() (burdocksettings.Hosted, error) {
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 	core, logs := observer.New(zap.DebugLevel)
-	return &follower{load: load, inForce: settings, last: settings, level: zap.NewAtomicLevelAt(zap.InfoLevel), log: zap.New(core)}, logs
+	return &settingsWatcher{load: load, startup: settings, latest: settings, level: zap.NewAtomicLevelAt(zap.InfoLevel), log: zap.New(core)}, logs
 }
 
 func write(t *testing.T, file, content string) {
@@ -47,47 +47,47 @@
 	}
 }
 
-// Whoever looks for a cause sets the level to debug without a signal. The next
-// look takes it over and says so once.
-func TestChangedSettingsAreTakenOverWithoutASignal(t *testing.T) {
+// An operator sets the log level to debug without sending a signal. The next poll
+// applies it and logs the change once.
+func TestChangedSettingsApplyWithoutSignal(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings.toml")
-	f, logs := newFollower(t, file)
-	f.read(false)
+	w, logs := newSettingsWatcher(t, file)
+	w.reload(false)
 	if got := logs.Len(); got != 0 {
-		t.Errorf("lines about settings that are as before: got %d, want none", got)
+		t.Errorf("log lines for unchanged settings: got %d, want none", got)
 	}
 	write(t, file, strings.Replace(testSettings, "info", "debug", 1))
-	f.read(false)
-	f.read(false)
-	if got, want := f.level.Level(), zap.DebugLevel; got != want {
+	w.reload(false)
+	w.reload(false)
+	if got, want := w.level.Level(), zap.DebugLevel; got != want {
 		t.Errorf("level: got %s, want %s", got, want)
 	}
 	if got, want := logs.FilterMessage("settings read again").Len(), 1; got != want {
-		t.Errorf("lines: got %d, want %d", got, want)
+		t.Errorf("log lines for the changed level: got %d, want %d", got, want)
 	}
 }
 
-// The file is broken while the process runs. The settings in force stay, the log
-// has the finding with its place once, and the mended file is taken over.
-func TestBrokenSettingsChangeNothing(t *testing.T) {
+// The file becomes invalid while the process runs. The settings in force stay, the
+// finding with its position is logged once, and the corrected file is applied.
+func TestInvalidSettingsAreIgnored(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings.toml")
-	f, logs := newFollower(t, file)
+	w, logs := newSettingsWatcher(t, file)
 	write(t, file, strings.Replace(testSettings, `"info"`, `"loud"`, 1))
-	f.read(false)
-	f.read(false)
-	if got, want := f.level.Level(), zap.InfoLevel; got != want {
+	w.reload(false)
+	w.reload(false)
+	if got, want := w.level.Level(), zap.InfoLevel; got != want {
 		t.Errorf("level: got %s, want %s", got, want)
 	}
 	lines := logs.FilterMessageSnippet("not usable").All()
 	if len(lines) != 1 {
-		t.Fatalf("lines about the broken file: got %d, want 1", len(lines))
+		t.Fatalf("log lines for the invalid file: got %d, want 1", len(lines))
 	}
 	if got := lines[0].ContextMap()["error"]; !strings.Contains(got.(string), "logLevel") {
 		t.Errorf("error: got %q, want it to name logLevel", got)
 	}
 	write(t, file, testSettings)
-	f.read(false)
-	if f.failed || f.last != f.inForce {
-		t.Errorf("after the file was mended: got %+v, want the settings in force", f.last)
+	w.reload(false)
+	if w.loadFailed || w.latest != w.startup {
+		t.Errorf("after the file was corrected: got %+v, want the settings in force", w.latest)
 	}
 }
--- a/cmd/burdock-standin/main.go
+++ b/cmd/burdock-standin/main.go
@@ -1,6 +1,6 @@
 // Command burdock-standin runs a stand-in for the platform's store, its
-// membership list, a model engine or a plain service. It is for tests and for
-// trying the system out alone: it keeps nothing and checks nobody.
+// membership list, a model engine or a plain service. It is for tests and
+// local trials: it persists nothing and authenticates no client.
 package main
 
 import (
@@ -58,7 +58,7 @@
 	return burdockmain.ExitOK
 }
 
-// runLink runs a link, and prints its address and that of its control.
+// runLink runs a link and prints its address and its control address.
 func runLink(target string, signals <-chan os.Signal) int {
 	link, err := burdockstandin.StartLink(target)
 	if err != nil {
--- a/cmd/burdock-standin/rank.go
+++ b/cmd/burdock-standin/rank.go
@@ -8,8 +8,8 @@
 	"burdockbend.example/burdockbend/internal/standin/burdockfakeengine"
 )
 
-// rankFlags adds the flags of an engine that is a rank of a lock-stepped group.
-// The result is read after parsing.
+// rankFlags adds the flags of an engine that is a rank of a lock-stepped group. The
+// returned function gives their values; call it after parsing.
 func rankFlags(flags *flag.FlagSet) func() burdockfakeengine.RankConfig {
 	lockstep := flags.String("lockstep", "", "IP and port of the lockstep of the engine's group")
 	rank := flags.Int("rank", 0, "the engine's rank in its group")
