--- a/burdockbend.go
+++ b/burdockbend.go
@@ -1,9 +1,9 @@
 // Package burdockbend balances requests across model replicas and plain
 // services. It starts the two processes of a fleet from their settings: an
-// entry, which callers speak to, and the agent beside one upstream.
+// entry, which callers connect to, and the agent that runs next to one upstream.
 //
 // The programs in cmd are thin wrappers around New. docs/DEVELOPERS.md shows a
-// request's way through the packages behind it.
+// request's path through the packages behind it.
 package burdockbend
 
 import (
@@ -15,18 +15,18 @@
 
 // Process is a running entry or agent.
 type Process interface {
-	// Ready returns why the process should get no work, or "".
+	// Ready returns why the process should receive no requests, or "" when it is ready.
 	Ready() string
-	// PeerAddress is where the system's other processes reach it.
+	// PeerAddress returns the address for the system's other processes.
 	PeerAddress() string
-	// AdminAddress is where operators reach it.
+	// AdminAddress returns the address for operators.
 	AdminAddress() string
-	// Stop is the planned stop. It returns when nothing is in flight, or at the
-	// end of the grace time.
+	// Stop drains the process. It returns when no request is in flight, or at the
+	// end of the grace period.
 	Stop()
 }
 
-// Option sets one thing about a process.
+// Option configures a process.
 type Option func(*options)
 
 type options struct {
@@ -44,29 +44,29 @@
 	roleAgent
 )
 
-// ErrNoRole says that New was given neither an entry's settings nor an agent's.
+// ErrNoRole is returned by New when neither WithEntry nor WithAgent is given.
 var ErrNoRole = errorx.NewNamespace("burdockbend").NewType("noRole")
 
-// WithEntry asks for an entry with the settings in data. The file is named in
-// findings.
+// WithEntry selects an entry with the settings in data. Findings name file as their
+// source.
 func WithEntry(file string, data []byte) Option {
 	return func(o *options) { o.role, o.file, o.data = roleEntry, file, data }
 }
 
-// WithAgent asks for an agent with the settings in data. The file is named in
-// findings.
+// WithAgent selects an agent with the settings in data. Findings name file as their
+// source.
 func WithAgent(file string, data []byte) Option {
 	return func(o *options) { o.role, o.file, o.data = roleAgent, file, data }
 }
 
-// WithLog makes the log at the level that the settings name. Without it
-// nothing is logged.
+// WithLog sets the function that creates the logger for the level in the settings.
+// Without it nothing is logged.
 func WithLog(log func(level string) *zap.Logger) Option {
 	return func(o *options) { o.log = log }
 }
 
-// New checks the settings and starts the process. Settings that are wrong give
-// a *burdockfinding.Error with every finding and its place, and start nothing.
+// New validates the settings and starts the process. Invalid settings start nothing
+// and return a *burdockfinding.Error with every finding and its position.
 func New(opts ...Option) (Process, error) {
 	o := options{log: func(string) *zap.Logger { return zap.NewNop() }}
 	for _, opt := range opts {
@@ -74,15 +74,15 @@
 	}
 	switch o.role {
 	case roleEntry:
-		return o.entry()
+		return o.startEntry()
 	case roleAgent:
-		return o.agent()
+		return o.startAgent()
 	default:
 		return nil, ErrNoRole.New("want WithEntry or WithAgent")
 	}
 }
 
-func (o options) entry() (Process, error) {
+func (o options) startEntry() (Process, error) {
 	settings, err := burdocksettings.LoadEntry(o.file, o.data)
 	if err != nil {
 		return nil, err
@@ -94,7 +94,7 @@
 	return e, nil
 }
 
-func (o options) agent() (Process, error) {
+func (o options) startAgent() (Process, error) {
 	settings, err := burdocksettings.LoadAgent(o.file, o.data)
 	if err != nil {
 		return nil, err
--- a/burdockbend_test.go
+++ b/burdockbend_test.go
@@ -25,7 +25,7 @@
 		fmt.Println(err)
 		return
 	}
-	fmt.Println(entry.Ready()) // nothing listens where the store should be
+	fmt.Println(entry.Ready()) // no store listens at that address
 	entry.Stop()
 	// Output: no configuration yet
 }
@@ -37,7 +37,7 @@
 	// Output: entry.toml:11: drainGraceMilis: unknown key; want drainGraceMillis
 }
 
-func TestNewNeedsARole(t *testing.T) {
+func TestNewRequiresRole(t *testing.T) {
 	if _, err := New(); !errorx.IsOfType(err, ErrNoRole) {
 		t.Errorf("New(): got %v, want an ErrNoRole", err)
 	}
