--- a/tools/generate/main.go
+++ b/tools/generate/main.go
@@ -1,7 +1,6 @@
-// Command generate makes the Go code for the messages between processes from
-// internal/wire/burdockwire/burdockwire.proto. The plugins are pinned in
-// tools/go.mod, and no protoc is needed. Run it in tools/; its output is
-// committed.
+// Command generate generates the Go code of the messages between processes from
+// internal/wire/burdockwire/burdockwire.proto. tools/go.mod pins the plugins, and
+// protoc isn't needed. Run it in tools/ and commit its output.
 package main
 
 import (
@@ -20,11 +19,11 @@
 	"google.golang.org/protobuf/types/pluginpb"
 )
 
-const source = "internal/wire/burdockwire/burdockwire.proto"
+const protoFile = "internal/wire/burdockwire/burdockwire.proto"
 
-// plugin is a generator that speaks protoc's plugin protocol.
+// plugin is a code generator that implements protoc's plugin protocol.
 type plugin struct {
-	path      string // of its package
+	path      string // import path
 	parameter string
 }
 
@@ -51,7 +50,7 @@
 			return fmt.Errorf("%s: %w", p.path, err)
 		}
 		for _, f := range files {
-			if err := write(filepath.Join(root, f.GetName()), f.GetContent()); err != nil {
+			if err := writeFormatted(filepath.Join(root, f.GetName()), f.GetContent()); err != nil {
 				return err
 			}
 		}
@@ -64,7 +63,7 @@
 		Resolver:       &protocompile.SourceResolver{ImportPaths: []string{root}},
 		SourceInfoMode: protocompile.SourceInfoStandard,
 	}
-	files, err := compiler.Compile(context.Background(), source)
+	files, err := compiler.Compile(context.Background(), protoFile)
 	if err != nil {
 		return nil, err
 	}
@@ -73,7 +72,7 @@
 
 func (p plugin) run(file *descriptorpb.FileDescriptorProto) ([]*pluginpb.CodeGeneratorResponse_File, error) {
 	in, err := proto.Marshal(&pluginpb.CodeGeneratorRequest{
-		FileToGenerate: []string{source}, Parameter: &p.parameter, ProtoFile: []*descriptorpb.FileDescriptorProto{file},
+		FileToGenerate: []string{protoFile}, Parameter: &p.parameter, ProtoFile: []*descriptorpb.FileDescriptorProto{file},
 	})
 	if err != nil {
 		return nil, err
@@ -94,7 +93,7 @@
 	return res.GetFile(), nil
 }
 
-func write(path, content string) error {
+func writeFormatted(path, content string) error {
 	formatted, err := format.Source([]byte(content))
 	if err != nil {
 		return err
--- a/tools/without/main.go
+++ b/tools/without/main.go
@@ -1,6 +1,6 @@
-// Command without takes one safeguard after another out of a copy of the
-// source and runs the tests that are there because of it. Each must fail: a
-// test that passes without the safeguard proves nothing of it.
+// Command without removes each safeguard in turn from a copy of the source and runs
+// the tests that cover it. They must fail: a test that passes without the safeguard
+// doesn't cover it.
 //
 // Run it from the root of the repository:
 //
@@ -18,7 +18,8 @@
 	"time"
 )
 
-// safeguard is one case of the case file.
+// safeguard is one case of the case file: a replacement of source text that disables
+// the safeguard, and the tests that must then fail.
 type safeguard struct {
 	name    string
 	file    string
@@ -30,7 +31,7 @@
 
 const (
 	caseFile = "without/safeguards.txt"
-	// testTimeout ends a test that waits for ever without its safeguard.
+	// testTimeout ends a test that hangs without its safeguard.
 	testTimeout = 150 * time.Second
 )
 
@@ -52,7 +53,7 @@
 	if err != nil {
 		return err
 	}
-	// One copy serves all cases, since the build cache goes by folder.
+	// All cases share one copy, since the build cache depends on the directory.
 	dir, err := os.MkdirTemp("", "without-")
 	if err != nil {
 		return err
@@ -66,7 +67,7 @@
 		if !strings.Contains(s.name, only) {
 			continue
 		}
-		failed, err := s.try(dir)
+		failed, err := s.failsWithout(dir)
 		if err != nil {
 			return fmt.Errorf("%s: %w", s.name, err)
 		}
@@ -88,22 +89,22 @@
 // "--- new".
 func parse(text string) ([]safeguard, error) {
 	var list []safeguard
-	var into *string
+	var block *string
 	for i, line := range strings.Split(text, "\n") {
 		word, rest, _ := strings.Cut(line, " ")
 		switch {
 		case word == "==":
 			list = append(list, safeguard{name: rest})
-			into = nil
-		case strings.HasPrefix(line, "#") && into == nil, strings.TrimSpace(line) == "" && into == nil:
+			block = nil
+		case strings.HasPrefix(line, "#") && block == nil, strings.TrimSpace(line) == "" && block == nil:
 		case len(list) == 0:
 			return nil, fmt.Errorf("%s:%d: %q stands before the first case", caseFile, i+1, line)
 		case line == "--- old":
-			into = &list[len(list)-1].old
+			block = &list[len(list)-1].old
 		case line == "--- new":
-			into = &list[len(list)-1].changed
-		case into != nil:
-			*into += line + "\n"
+			block = &list[len(list)-1].changed
+		case block != nil:
+			*block += line + "\n"
 		case word == "file":
 			list[len(list)-1].file = rest
 		case word == "package":
@@ -117,15 +118,15 @@
 	return list, nil
 }
 
-// try reports whether the tests fail without the safeguard.
-func (s safeguard) try(dir string) (bool, error) {
+// failsWithout reports whether the tests fail without the safeguard.
+func (s safeguard) failsWithout(dir string) (bool, error) {
 	path := filepath.Join(dir, s.file)
 	original, err := os.ReadFile(path)
 	if err != nil {
 		return false, err
 	}
 	defer func() { _ = os.WriteFile(path, original, 0o600) }()
-	if err := s.apply(path); err != nil {
+	if err := s.disable(path); err != nil {
 		return false, err
 	}
 	build := exec.Command("go", "build", "./...")
@@ -142,7 +143,7 @@
 	return err != nil, nil
 }
 
-func (s safeguard) apply(path string) error {
+func (s safeguard) disable(path string) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return err
@@ -155,7 +156,7 @@
 	return os.WriteFile(path, []byte(strings.Replace(string(data), old, changed, 1)), 0o600)
 }
 
-// copyTree copies the files that git knows of.
+// copyTree copies the tracked files and the untracked ones that git doesn't ignore.
 func copyTree(from, to string) error {
 	cmd := exec.Command("git", "ls-files", "-z", "--cached", "--others", "--exclude-standard")
 	cmd.Dir = from
