--- a/internal/tool/burdockload/client.go
+++ b/internal/tool/burdockload/client.go
@@ -19,13 +19,13 @@
 
 const (
 	dialTimeout = 2 * time.Second
-	// maxIdle covers the calls that a run has open at a time.
-	maxIdle = 4096
-	endMark = "[DONE]"
-	// readerBytes holds a few events of a stream.
+	// maxIdleConns is large enough for the scheduled calls that a run has open at a time.
+	maxIdleConns    = 4096
+	streamEndMarker = "[DONE]"
+	// readerBytes is large enough for a few events of a stream.
 	readerBytes = 16 << 10
-	// maxProblemBytes bounds how much of an error's body is read.
-	maxProblemBytes = 64 << 10
+	// maxErrorBodyBytes limits how much of an error response is read.
+	maxErrorBodyBytes = 64 << 10
 )
 
 // client sends calls to one address.
@@ -35,53 +35,53 @@
 	http    *http.Client
 }
 
-// newClient returns a client whose calls are each sent at most once, so that
-// the counts at both ends can be compared.
+// newClient returns a client that sends each call at most once, so that the counts
+// at the caller and at the server can be compared.
 func newClient(cfg Config, address string) *client {
 	return &client{cfg: cfg, address: address, http: &http.Client{Transport: burdocktransport.NewOnce(&http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
-		MaxIdleConns:        maxIdle,
-		MaxIdleConnsPerHost: maxIdle,
+		MaxIdleConns:        maxIdleConns,
+		MaxIdleConnsPerHost: maxIdleConns,
 		DisableCompression:  true,
 	})}}
 }
 
 func (c *client) close() { c.http.CloseIdleConnections() }
 
-// observed is what one call showed.
-type observed struct {
+// outcome is how one call ended and what was measured.
+type outcome struct {
 	ending     ending
 	code       burdockapi.Code
 	reason     string
 	tokens     int64
 	firstToken time.Duration
-	whole      time.Duration
+	answerTime time.Duration
 	gaps       []time.Duration
 }
 
-// send sends a call and reads its answer. Spans count from due.
-func (c *client) send(ctx context.Context, cl call, due time.Time) observed {
+// send sends a call and reads its answer. Latencies are measured from due.
+func (c *client) send(ctx context.Context, cl call, due time.Time) outcome {
 	ctx, cancel := context.WithTimeout(ctx, c.cfg.Timeout)
 	defer cancel()
 	req, err := c.request(ctx, cl)
 	if err != nil {
-		return observed{ending: endingUnsent, reason: err.Error()}
+		return outcome{ending: endingUnsent, reason: err.Error()}
 	}
 	res, err := c.http.Do(req)
 	if err != nil {
-		return observed{ending: endingUnknown, reason: reasonOf(err)}
+		return outcome{ending: endingUnknown, reason: failureReason(err)}
 	}
 	defer func() { _ = res.Body.Close() }()
 	if res.StatusCode != http.StatusOK {
-		return problemOf(res)
+		return errorOutcome(res)
 	}
 	if cl.kind == kindStreamed {
 		return readStream(res.Body, due)
 	}
 	if _, err := io.Copy(io.Discard, res.Body); err != nil {
-		return observed{ending: endingCut, reason: reasonOf(err)}
+		return outcome{ending: endingCut, reason: failureReason(err)}
 	}
-	return observed{ending: endingAnswered, whole: time.Since(due)}
+	return outcome{ending: endingAnswered, answerTime: time.Since(due)}
 }
 
 func (c *client) request(ctx context.Context, cl call) (*http.Request, error) {
@@ -93,14 +93,14 @@
 		return nil, err
 	}
 	req.Header.Set("Content-Type", "application/json")
-	if cl.key != "" {
-		req.Header.Set("Authorization", "Bearer "+cl.key)
+	if cl.customerKey != "" {
+		req.Header.Set("Authorization", "Bearer "+cl.customerKey)
 	}
 	if cl.class != "" {
 		req.Header.Set("Burdock-Class", cl.class)
 	}
-	if cl.repeat != "" {
-		req.Header.Set("Idempotency-Key", string(cl.repeat))
+	if cl.idempotencyKey != "" {
+		req.Header.Set("Idempotency-Key", string(cl.idempotencyKey))
 	}
 	return req, nil
 }
@@ -110,27 +110,27 @@
 		c.cfg.Model, cl.kind == kindStreamed, cl.tokens, cl.prompt)
 }
 
-// readStream reads a stream of tokens to its end mark.
-func readStream(body io.Reader, due time.Time) observed {
-	var o observed
+// readStream reads a stream of tokens up to its end marker.
+func readStream(body io.Reader, due time.Time) outcome {
+	var o outcome
 	var last time.Time
 	lines := bufio.NewReaderSize(body, readerBytes)
 	for {
 		line, err := lines.ReadSlice('\n')
 		if err != nil {
-			o.ending, o.reason = endingCut, reasonOf(err)
+			o.ending, o.reason = endingCut, failureReason(err)
 			return o
 		}
 		data, ok := bytes.CutPrefix(bytes.TrimSpace(line), []byte("data: "))
 		if !ok {
 			continue
 		}
-		if string(data) == endMark {
+		if string(data) == streamEndMarker {
 			o.ending = endingAnswered
 			return o
 		}
 		if bytes.HasPrefix(data, []byte(`{"error":`)) {
-			o.ending, o.reason = endingCut, "error in the stream: "+string(codeOf(data))
+			o.ending, o.reason = endingCut, "error in the stream: "+string(errorCode(data))
 			return o
 		}
 		now := time.Now()
@@ -143,17 +143,17 @@
 	}
 }
 
-// problemOf sorts an answer that is an error.
-func problemOf(res *http.Response) observed {
-	body, _ := io.ReadAll(io.LimitReader(res.Body, maxProblemBytes))
-	code := codeOf(body)
+// errorOutcome classifies an error response.
+func errorOutcome(res *http.Response) outcome {
+	body, _ := io.ReadAll(io.LimitReader(res.Body, maxErrorBodyBytes))
+	code := errorCode(body)
 	if res.Header.Get("Burdock-Not-Run") == "true" {
-		return observed{ending: endingRefused, code: code}
+		return outcome{ending: endingRefused, code: code}
 	}
-	return observed{ending: endingUnknown, reason: fmt.Sprintf("status %d %s", res.StatusCode, code)}
+	return outcome{ending: endingUnknown, reason: fmt.Sprintf("status %d %s", res.StatusCode, code)}
 }
 
-func codeOf(body []byte) burdockapi.Code {
+func errorCode(body []byte) burdockapi.Code {
 	var problem struct {
 		Error struct {
 			Code burdockapi.Code `json:"code"`
@@ -165,8 +165,9 @@
 	return problem.Error.Code
 }
 
-// reasonOf names an error in few enough ways to be counted by.
-func reasonOf(err error) string {
+// failureReason maps an error to one of a few texts, so that failures can be counted by
+// reason.
+func failureReason(err error) string {
 	var netErr net.Error
 	var opErr *net.OpError
 	switch {
--- a/internal/tool/burdockload/command.go
+++ b/internal/tool/burdockload/command.go
@@ -1,5 +1,5 @@
-// Package burdockload drives an address with calls at a given rate and mix,
-// and tells what callers saw of it.
+// Package burdockload sends calls to an address at a given rate and mix, and reports
+// latencies and failures as its callers see them.
 package burdockload
 
 import (
@@ -15,7 +15,8 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-// options are the arguments beside those of a run.
+// options are the command's flags: the configuration of a run and the flags that
+// select or compare runs.
 type options struct {
 	cfg        Config
 	mix        string
@@ -26,7 +27,8 @@
 	anyAddress bool
 }
 
-// Command returns the command that drives an address and prints to w.
+// Command returns the load command, which sends calls to an address and prints the
+// results to w.
 func Command(w io.Writer) *ffcli.Command {
 	var o options
 	fs := flag.NewFlagSet("burdock load", flag.ContinueOnError)
@@ -66,7 +68,7 @@
 		return err
 	}
 	if o.compare != "" {
-		return o.runBoth(ctx, w, args[0])
+		return o.runComparison(ctx, w, args[0])
 	}
 	result, err := Run(ctx, o.cfg, args[0])
 	if err != nil {
@@ -75,7 +77,7 @@
 	return report(w, side{address: args[0], result: result})
 }
 
-// parse reads the flags that hold lists, and checks the addresses.
+// parse parses the list flags and checks the addresses.
 func (o *options) parse(address string) (err error) {
 	if o.cfg.Mix, err = parseMix(o.mix); err != nil {
 		return err
@@ -116,9 +118,9 @@
 	return m, nil
 }
 
-// runBoth gives both addresses the same work in turns, so that what changes on
-// the machine meanwhile meets both alike.
-func (o *options) runBoth(ctx context.Context, w io.Writer, address string) error {
+// runComparison sends the same calls to both addresses in turns, so that changes on
+// the machine during the run affect both equally.
+func (o *options) runComparison(ctx context.Context, w io.Writer, address string) error {
 	sides := []side{{address, NewResult()}, {o.compare, NewResult()}}
 	seed := o.cfg.Seed
 	for turn := range o.turns {
--- a/internal/tool/burdockload/config.go
+++ b/internal/tool/burdockload/config.go
@@ -7,8 +7,8 @@
 	"github.com/joomcode/errorx"
 )
 
-// Bounds of one run, so that a slip of the pen can't flood an address or run
-// for good.
+// Limits of one run, so that a mistyped flag can't flood an address or run without
+// end.
 const (
 	maxRate     = 20000
 	maxDuration = time.Hour
@@ -18,47 +18,48 @@
 	maxTurns    = 100
 )
 
-// Mix is how the kinds of calls share the load, as weights.
+// Mix holds the weights of the kinds of calls.
 type Mix struct {
-	Streamed float64 // chat, answered token by token
-	Whole    float64 // chat, answered at once
-	Plain    float64 // a call of a plain service
+	Streamed float64 // chat with a streamed answer
+	Whole    float64 // chat with an unstreamed answer
+	Plain    float64 // call to a plain service
 }
 
 func (m Mix) total() float64 { return m.Streamed + m.Whole + m.Plain }
 
-// Config says what a run sends.
+// Config describes the calls that a run sends.
 type Config struct {
-	// Rate is calls a second, on the average; 0 sends none beside the streams.
+	// Rate is the mean number of calls per second; 0 sends only the streams.
 	Rate float64
-	// Duration is the time in which calls begin.
+	// Duration is how long new calls are started.
 	Duration time.Duration
-	// Requests bounds how many calls begin; 0 leaves it to the duration.
+	// Requests limits the number of calls; 0 means that only Duration limits it.
 	Requests int
-	// Streams is how many streams are kept open beside the calls.
+	// Streams is the number of streams that are kept open in addition to the calls.
 	Streams int
-	// Seed fixes arrivals, kinds, classes and keys.
+	// Seed determines arrivals, kinds, classes and keys.
 	Seed uint64
 	Mix  Mix
-	// Tokens is how long the answer of a chat is; StreamTokens that of a stream
-	// that is kept open.
+	// Tokens is the length of a chat's answer; StreamTokens is that of a stream that
+	// is kept open.
 	Tokens       int
 	StreamTokens int
 	// Prompt is the length of a prompt in words.
 	Prompt    int
 	Model     string
 	PlainPath string
-	// Classes are drawn from for each call; with none the header is left out.
+	// Classes are the priority classes, one drawn at random for each call. When empty,
+	// the header is omitted.
 	Classes []string
-	// Keys are those of customers, drawn from for each call.
+	// Keys are customers' API keys, one drawn at random for each call.
 	Keys []string
-	// Idempotent is the part of calls that carry an idempotency key.
+	// Idempotent is the fraction of calls that carry an idempotency key, from 0 to 1.
 	Idempotent float64
-	// Timeout is how long a call may take.
+	// Timeout limits each call.
 	Timeout time.Duration
 }
 
-// check returns what is wrong with a run, as one error.
+// check returns an error for the first invalid field.
 func (c Config) check() error {
 	switch {
 	case c.Rate < 0 || c.Rate > maxRate:
@@ -83,8 +84,8 @@
 	return nil
 }
 
-// checkAddress refuses an address beyond this machine, unless any may be
-// driven: a load that is sent to a wrong address looks like an attack there.
+// checkAddress rejects an address outside this machine unless anyAddress is set: load
+// sent to a wrong address looks like an attack there.
 func checkAddress(address string, anyAddress bool) error {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
--- a/internal/tool/burdockload/load_test.go
+++ b/internal/tool/burdockload/load_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-func drain(cfg Config) []call {
+func scheduledCalls(cfg Config) []call {
 	var calls []call
 	s := newSchedule(cfg)
 	for c, ok := s.next(); ok; c, ok = s.next() {
@@ -36,7 +36,7 @@
 func TestScheduleFollowsRateMixAndSeed(t *testing.T) {
 	cfg := testConfig()
 	cfg.Duration = time.Minute
-	calls := drain(cfg)
+	calls := scheduledCalls(cfg)
 	if got, want := float64(len(calls)), cfg.Rate*cfg.Duration.Seconds(); math.Abs(got-want) > 0.05*want {
 		t.Errorf("calls in a minute: got %v, want about %v", got, want)
 	}
@@ -49,18 +49,18 @@
 			t.Errorf("calls of kind %v: got %v, want about %v", k, got, want)
 		}
 	}
-	again := drain(cfg)
+	again := scheduledCalls(cfg)
 	if got, want := fmt.Sprint(again), fmt.Sprint(calls); got != want {
-		t.Error("the same seed gave another schedule")
+		t.Error("the same seed gave a different schedule")
 	}
 	cfg.Requests = 10
-	if got, want := len(drain(cfg)), 10; got != want {
-		t.Errorf("bounded calls: got %d, want %d", got, want)
+	if got, want := len(scheduledCalls(cfg)), 10; got != want {
+		t.Errorf("calls limited by Requests: got %d, want %d", got, want)
 	}
 }
 
-// The counts at both ends agree: each call of the schedule reaches the engine
-// once, and is told as answered.
+// The counts of caller and engine agree: each call of the schedule reaches the engine
+// once and is reported as answered.
 func TestRunSendsItsScheduleOnce(t *testing.T) {
 	engine := burdockfakeengine.New(burdockfakeengine.Config{})
 	server := httptest.NewServer(engine)
@@ -70,10 +70,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, want := result.Answered, len(drain(cfg)); got != want {
+	if got, want := result.Answered, len(scheduledCalls(cfg)); got != want {
 		t.Errorf("answered: got %d, want %d; failures %v", got, want, result.Failures)
 	}
-	if got, want := engine.Runs().Finished, len(drain(cfg)); got != want {
+	if got, want := engine.Runs().Finished, len(scheduledCalls(cfg)); got != want {
 		t.Errorf("finished at the engine: got %d, want %d", got, want)
 	}
 	if got, want := result.Tokens, result.FirstToken.TotalCount()*int64(cfg.Tokens); got != want {
@@ -84,9 +84,9 @@
 	}
 }
 
-// A caller is refused, left without an answer, or has one that breaks off. The
-// three must not be mixed up: only the first tells that nothing ran.
-func TestEndingsAreToldApart(t *testing.T) {
+// A call can be refused, get no answer, or get an answer that breaks off. The three
+// must stay distinct: only a refusal states that nothing was run.
+func TestEndingsAreDistinguished(t *testing.T) {
 	cases := map[string]struct {
 		answer func(http.ResponseWriter)
 		want   ending
@@ -121,7 +121,7 @@
 	}
 }
 
-func TestStreamsStayOpenToTheEnd(t *testing.T) {
+func TestStreamsStayOpenUntilRunEnds(t *testing.T) {
 	engine := burdockfakeengine.New(burdockfakeengine.Config{Step: time.Millisecond})
 	server := httptest.NewServer(engine)
 	defer server.Close()
@@ -135,7 +135,7 @@
 		t.Errorf("streams: got %d, want %d; failures %v", got, want, result.Failures)
 	}
 	if result.Tokens == 0 {
-		t.Error("the streams brought no token")
+		t.Error("the streams returned no tokens")
 	}
 }
 
@@ -144,12 +144,12 @@
 		"-rate 1e9 127.0.0.1:1", "-duration 100h 127.0.0.1:1", "-compare 10.0.0.7:80 127.0.0.1:1", "-turns 0 127.0.0.1:1"} {
 		err := Command(io.Discard).ParseAndRun(context.Background(), strings.Fields(args))
 		if !errorx.IsOfType(err, errorx.IllegalArgument) {
-			t.Errorf("burdock load %s: got error %v, want one about the arguments", args, err)
+			t.Errorf("burdock load %s: got error %v, want IllegalArgument", args, err)
 		}
 	}
 }
 
-func TestCompareGivesBothTheSameWork(t *testing.T) {
+func TestCompareSendsSameCallsToBoth(t *testing.T) {
 	var out bytes.Buffer
 	var engines []*burdockfakeengine.Server
 	args := []string{"-rate", "100", "-duration", "200ms", "-turns", "2", "-tokens", "2"}
@@ -167,7 +167,7 @@
 		t.Fatal(err)
 	}
 	if got, want := engines[0].Runs().Finished, engines[1].Runs().Finished; got != want || got == 0 {
-		t.Errorf("calls: got %d and %d, want the same and some", got, want)
+		t.Errorf("finished calls: got %d and %d, want equal and above 0", got, want)
 	}
 	if !strings.Contains(out.String(), " over ") {
 		t.Errorf("no ratios in:\n%s", out.String())
--- a/internal/tool/burdockload/report.go
+++ b/internal/tool/burdockload/report.go
@@ -11,16 +11,16 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// percentiles that a report shows.
+// percentiles shown in a report.
 var percentiles = []float64{50, 90, 99, 99.9}
 
-// side is one address and what it showed.
+// side is one address and its result.
 type side struct {
 	address string
 	result  *Result
 }
 
-// measures are the histograms of a result with their titles.
+// measures lists the histograms of a result with their titles.
 var measures = []struct {
 	title string
 	of    func(*Result) *hdrhistogram.Histogram
@@ -30,7 +30,7 @@
 	{"whole answer", func(r *Result) *hdrhistogram.Histogram { return r.Whole }},
 }
 
-// report prints what each side showed.
+// report prints the result of each side.
 func report(w io.Writer, sides ...side) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, s := range sides {
@@ -41,7 +41,7 @@
 	_, _ = fmt.Fprintln(t, "\nmilliseconds\tcount\tp50\tp90\tp99\tp99.9\tmax")
 	for _, m := range measures {
 		for _, s := range sides {
-			printSpans(t, m.title+" "+s.address, m.of(s.result))
+			printPercentiles(t, m.title+" "+s.address, m.of(s.result))
 		}
 	}
 	for _, s := range sides {
@@ -51,7 +51,7 @@
 	return t.Flush()
 }
 
-func printSpans(w io.Writer, title string, h *hdrhistogram.Histogram) {
+func printPercentiles(w io.Writer, title string, h *hdrhistogram.Histogram) {
 	if h.TotalCount() == 0 {
 		return
 	}
@@ -78,7 +78,7 @@
 	}
 }
 
-// printRatios prints what the second side shows as a multiple of the first.
+// printRatios prints the percentiles of the first side divided by those of the second.
 func printRatios(w io.Writer, first, second side) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintf(t, "\n%s over %s\tp50\tp90\tp99\tp99.9\n", first.address, second.address)
--- a/internal/tool/burdockload/result.go
+++ b/internal/tool/burdockload/result.go
@@ -8,31 +8,32 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Spans are kept in microseconds: the balancer's own part of a first token is
-// below the millisecond that the product's clock counts.
+// Histograms hold microseconds: the balancer adds less than a millisecond to a first
+// token, which is below the resolution of the product's clock.
 const (
-	spanUnit    = time.Microsecond
-	longestSpan = 10 * time.Minute
-	spanDigits  = 3
+	spanUnit   = time.Microsecond
+	maxSpan    = 10 * time.Minute
+	spanDigits = 3
 )
 
 // ending is how one call ended.
 type ending int
 
 const (
-	// endingAnswered: the whole answer came.
+	// endingAnswered means that the complete answer was received.
 	endingAnswered ending = iota
-	// endingRefused: the answer says that the call was not run.
+	// endingRefused means that the answer states that the call was not run.
 	endingRefused
-	// endingUnknown: the call may have run, and there is no answer.
+	// endingUnknown means that the call may have run and no answer was received.
 	endingUnknown
-	// endingCut: the answer broke off after part of it.
+	// endingCut means that the answer broke off before its end.
 	endingCut
-	// endingUnsent: too many calls were open, so this one was not sent.
+	// endingUnsent means that the call was not sent, because too many calls were open
+	// or its request was invalid.
 	endingUnsent
 )
 
-// Result is what a run showed.
+// Result holds the counts and latencies of a run.
 type Result struct {
 	Sent     int
 	Answered int
@@ -40,17 +41,17 @@
 	Cut      int
 	// Unsent counts calls that were due while too many were open.
 	Unsent int
-	// Refused counts the answers that say "not run", by code.
+	// Refused counts the answers that state "not run", by error code.
 	Refused map[burdockapi.Code]int
-	// Failures counts what was neither answered nor refused, by what was seen.
+	// Failures counts the calls that were neither answered nor refused, by reason.
 	Failures map[string]int
 	Tokens   int64
 	Took     time.Duration
-	// FirstToken is from the time a streamed call was due to its first token.
+	// FirstToken holds the times from when a streamed call was due to its first token.
 	FirstToken *hdrhistogram.Histogram
-	// BetweenTokens is from one token of a stream to the next.
+	// BetweenTokens holds the times between successive tokens of a stream.
 	BetweenTokens *hdrhistogram.Histogram
-	// Whole is from the time that any other call was due to its answer's end.
+	// Whole holds the times from when any other call was due to the end of its answer.
 	Whole *hdrhistogram.Histogram
 }
 
@@ -66,10 +67,10 @@
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, int64(longestSpan/spanUnit), spanDigits)
+	return hdrhistogram.New(1, int64(maxSpan/spanUnit), spanDigits)
 }
 
-// Merge adds another result, such as that of another turn.
+// Merge adds the counts and latencies of another result, such as another turn's.
 func (r *Result) Merge(other *Result) {
 	r.Sent += other.Sent
 	r.Answered += other.Answered
@@ -89,22 +90,22 @@
 	r.Whole.Merge(other.Whole)
 }
 
-// Span returns a percentile of one of the histograms.
+// Span returns a percentile, from 0 to 100, of one of a result's histograms.
 func Span(h *hdrhistogram.Histogram, percentile float64) time.Duration {
 	return time.Duration(h.ValueAtPercentile(percentile)) * spanUnit
 }
 
-// tally collects a result from calls that run beside each other.
-type tally struct {
+// resultCollector collects the outcomes of concurrent calls into a result.
+type resultCollector struct {
 	mu     sync.Mutex
 	result *Result
 }
 
-// record adds one ended call.
-func (t *tally) record(o observed) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	r := t.result
+// record adds the outcome of one call.
+func (c *resultCollector) record(o outcome) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := c.result
 	r.Tokens += o.tokens
 	switch o.ending {
 	case endingAnswered:
@@ -123,17 +124,17 @@
 	}
 	r.Sent++
 	if o.firstToken > 0 {
-		add(r.FirstToken, o.firstToken)
+		recordSpan(r.FirstToken, o.firstToken)
 	}
-	if o.whole > 0 {
-		add(r.Whole, o.whole)
+	if o.answerTime > 0 {
+		recordSpan(r.Whole, o.answerTime)
 	}
 	for _, gap := range o.gaps {
-		add(r.BetweenTokens, gap)
+		recordSpan(r.BetweenTokens, gap)
 	}
 }
 
-// add records a span; one that is too long counts as the longest.
-func add(h *hdrhistogram.Histogram, span time.Duration) {
-	_ = h.RecordValue(int64(min(max(span, spanUnit), longestSpan) / spanUnit))
+// recordSpan records a duration, limited to the range of the histogram.
+func recordSpan(h *hdrhistogram.Histogram, span time.Duration) {
+	_ = h.RecordValue(int64(min(max(span, spanUnit), maxSpan) / spanUnit))
 }
--- a/internal/tool/burdockload/run.go
+++ b/internal/tool/burdockload/run.go
@@ -8,113 +8,114 @@
 	"time"
 )
 
-// maxOpen bounds the calls that are open at a time. Beyond it the machine that
-// sends the load would be what is measured.
-const maxOpen = 4096
+// maxOpenCalls limits the calls that are open at a time. With more, the result would show
+// the limits of the machine that sends the load.
+const maxOpenCalls = 4096
 
-// Run sends one run's calls to an address and returns what it showed. It ends
-// when all calls have ended, at the latest a timeout after the duration.
+// Run sends one run's calls to an address and returns the result. It returns when all
+// calls have ended, at the latest cfg.Timeout after cfg.Duration.
 func Run(ctx context.Context, cfg Config, address string) (*Result, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
 	}
 	client := newClient(cfg, address)
 	defer client.close()
-	r := &runner{cfg: cfg, client: client, tally: &tally{result: NewResult()}, open: make(chan struct{}, maxOpen)}
-	began := time.Now()
-	r.run(ctx, began)
-	r.tally.result.Took = time.Since(began)
-	return r.tally.result, nil
+	r := &runner{cfg: cfg, client: client, results: &resultCollector{result: NewResult()}, openCalls: make(chan struct{}, maxOpenCalls)}
+	start := time.Now()
+	r.run(ctx, start)
+	r.results.result.Took = time.Since(start)
+	return r.results.result, nil
 }
 
 // runner is one run against one address.
 type runner struct {
-	cfg    Config
-	client *client
-	tally  *tally
-	open   chan struct{}
-	done   sync.WaitGroup
+	cfg       Config
+	client    *client
+	results   *resultCollector
+	openCalls chan struct{}
+	wg        sync.WaitGroup
 }
 
-func (r *runner) run(ctx context.Context, began time.Time) {
-	end := began.Add(r.cfg.Duration)
+func (r *runner) run(ctx context.Context, start time.Time) {
+	end := start.Add(r.cfg.Duration)
 	streams, stop := context.WithDeadline(ctx, end)
 	defer stop()
-	r.done.Add(r.cfg.Streams)
+	r.wg.Add(r.cfg.Streams)
 	for i := range r.cfg.Streams {
-		go (&streamer{runner: r, number: i, random: rand.New(rand.NewPCG(r.cfg.Seed, scheduleStream+1+uint64(i)))}).run(streams)
+		go (&streamer{runner: r, index: i, random: rand.New(rand.NewPCG(r.cfg.Seed, scheduleRandomStream+1+uint64(i)))}).run(streams)
 	}
 	calls := newSchedule(r.cfg)
-	for c, ok := calls.next(); ok && wait(ctx, began.Add(c.at)); c, ok = calls.next() {
-		r.begin(ctx, c, began.Add(c.at))
+	for c, ok := calls.next(); ok && waitUntil(ctx, start.Add(c.offset)); c, ok = calls.next() {
+		r.startCall(ctx, c, start.Add(c.offset))
 	}
 	if r.cfg.Streams > 0 {
-		wait(ctx, end)
+		waitUntil(ctx, end)
 	}
-	r.done.Wait()
+	r.wg.Wait()
 }
 
-// begin sends a call without waiting for its answer.
-func (r *runner) begin(ctx context.Context, c call, due time.Time) {
+// startCall starts sending a call without waiting for its answer.
+func (r *runner) startCall(ctx context.Context, c call, due time.Time) {
 	select {
-	case r.open <- struct{}{}:
+	case r.openCalls <- struct{}{}:
 	default:
-		r.tally.record(observed{ending: endingUnsent})
+		r.results.record(outcome{ending: endingUnsent})
 		return
 	}
-	r.done.Add(1)
-	go (&sending{runner: r, call: c, due: due}).run(ctx)
+	r.wg.Add(1)
+	go (&pendingCall{runner: r, call: c, due: due}).run(ctx)
 }
 
-// sending is one call under way.
-type sending struct {
+// pendingCall is a call that awaits its answer.
+type pendingCall struct {
 	runner *runner
 	call   call
 	due    time.Time
 }
 
-func (s *sending) run(ctx context.Context) {
-	defer s.runner.done.Done()
-	s.runner.tally.record(s.runner.client.send(ctx, s.call, s.due))
-	<-s.runner.open
+func (s *pendingCall) run(ctx context.Context) {
+	defer s.runner.wg.Done()
+	s.runner.results.record(s.runner.client.send(ctx, s.call, s.due))
+	<-s.runner.openCalls
 }
 
-// streamPause keeps a streamer that is refused from asking without a break.
-const streamPause = 100 * time.Millisecond
+// streamRetryDelay is the delay after a refused or failed stream. Without it a streamer
+// would retry in a tight loop.
+const streamRetryDelay = 100 * time.Millisecond
 
 // streamer keeps one stream open until the end of the run.
 type streamer struct {
 	runner *runner
-	number int
+	index  int
 	random *rand.Rand
 }
 
 func (s *streamer) run(ctx context.Context) {
-	defer s.runner.done.Done()
+	defer s.runner.wg.Done()
 	for n := 0; ctx.Err() == nil; n++ {
-		c := draw(s.runner.cfg, s.random, fmt.Sprintf("stream %d-%d-%d", s.runner.cfg.Seed, s.number, n))
-		c.kind, c.tokens, c.repeat = kindStreamed, s.runner.cfg.StreamTokens, ""
+		c := drawCall(s.runner.cfg, s.random, fmt.Sprintf("stream %d-%d-%d", s.runner.cfg.Seed, s.index, n))
+		c.kind, c.tokens, c.idempotencyKey = kindStreamed, s.runner.cfg.StreamTokens, ""
 		o := s.runner.client.send(ctx, c, time.Now())
 		if ctx.Err() != nil {
-			// The end of the run cut it, nothing else; its tokens still count.
+			// Only the end of the run cut the stream, so it counts as answered, with its tokens.
 			o.ending = endingAnswered
 		}
-		// First tokens are told of the calls alone, whose arrivals are drawn.
+		// First tokens are measured only for the scheduled calls, which arrive at random.
 		o.firstToken = 0
-		s.runner.tally.record(o)
+		s.runner.results.record(o)
 		if o.ending != endingAnswered {
-			wait(ctx, time.Now().Add(streamPause))
+			waitUntil(ctx, time.Now().Add(streamRetryDelay))
 		}
 	}
 }
 
-// wait waits until an instant, and reports false when ctx ended first.
-func wait(ctx context.Context, until time.Time) bool {
-	left := time.Until(until)
-	if left <= 0 {
+// waitUntil waits until the given time and reports whether ctx is still active.
+func waitUntil(ctx context.Context, until time.Time) bool {
+	remaining := time.Until(until)
+	if remaining <= 0 {
 		return ctx.Err() == nil
 	}
-	timer := time.NewTimer(left)
+	timer := time.NewTimer(remaining)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/internal/tool/burdockload/schedule.go
+++ b/internal/tool/burdockload/schedule.go
@@ -9,7 +9,7 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 )
 
-// kind is what a call asks for.
+// kind is the type of request that a call sends.
 type kind int
 
 const (
@@ -20,61 +20,63 @@
 
 // call is one call of a run.
 type call struct {
-	// at is when it begins, from the start of the run.
-	at     time.Duration
-	kind   kind
-	tokens int
-	prompt string
-	class  string
-	key    string // of the customer
-	repeat burdockid.IdempotencyKey
+	// offset is when the call is due, measured from the start of the run.
+	offset         time.Duration
+	kind           kind
+	tokens         int
+	prompt         string
+	class          string
+	customerKey    string // sent as the bearer token
+	idempotencyKey burdockid.IdempotencyKey
 }
 
-// schedule draws the calls of a run. It is pure: one seed gives one schedule.
+// schedule generates the calls of a run. It is deterministic: equal configurations
+// with equal seeds give equal schedules.
 type schedule struct {
 	cfg    Config
 	random *rand.Rand
-	at     time.Duration
-	n      int
+	offset time.Duration
+	count  int
 }
 
-// scheduleStream tells the random numbers of calls from those of streams.
-const scheduleStream = 1
+// scheduleRandomStream selects the random sequence of the calls; the streams use the
+// sequences that follow it.
+const scheduleRandomStream = 1
 
 func newSchedule(cfg Config) *schedule {
-	return &schedule{cfg: cfg, random: rand.New(rand.NewPCG(cfg.Seed, scheduleStream))}
+	return &schedule{cfg: cfg, random: rand.New(rand.NewPCG(cfg.Seed, scheduleRandomStream))}
 }
 
 // next returns the next call of the run, or false at its end.
 //
-// The gaps are exponential, so calls arrive as those of many independent
-// callers do, and bunch. They don't wait for answers: a server that slows down
-// gets no relief, which is what its callers would see.
+// The gaps are exponential, so calls arrive in bursts, as from many independent
+// callers. They don't wait for earlier answers: as in production, a server that slows
+// down still receives calls at the full rate.
 func (s *schedule) next() (call, bool) {
-	if s.cfg.Rate <= 0 || (s.cfg.Requests > 0 && s.n >= s.cfg.Requests) {
+	if s.cfg.Rate <= 0 || (s.cfg.Requests > 0 && s.count >= s.cfg.Requests) {
 		return call{}, false
 	}
-	s.at += time.Duration(s.random.ExpFloat64() / s.cfg.Rate * float64(time.Second))
-	if s.at >= s.cfg.Duration {
+	s.offset += time.Duration(s.random.ExpFloat64() / s.cfg.Rate * float64(time.Second))
+	if s.offset >= s.cfg.Duration {
 		return call{}, false
 	}
-	s.n++
-	c := draw(s.cfg, s.random, fmt.Sprintf("call %d-%d", s.cfg.Seed, s.n))
-	c.at = s.at
+	s.count++
+	c := drawCall(s.cfg, s.random, fmt.Sprintf("call %d-%d", s.cfg.Seed, s.count))
+	c.offset = s.offset
 	return c, true
 }
 
-// draw draws all of a call but its time.
-func draw(cfg Config, random *rand.Rand, name string) call {
+// drawCall draws all properties of a call except its start time.
+func drawCall(cfg Config, random *rand.Rand, name string) call {
 	c := call{
-		kind:   drawKind(cfg.Mix, random),
-		tokens: cfg.Tokens,
-		prompt: promptOf(name, cfg.Prompt),
-		class:  pick(cfg.Classes, random),
-		key:    pick(cfg.Keys, random),
+		kind:        drawKind(cfg.Mix, random),
+		tokens:      cfg.Tokens,
+		prompt:      uniquePrompt(name, cfg.Prompt),
+		class:       pick(cfg.Classes, random),
+		customerKey: pick(cfg.Keys, random),
 	}
 	if random.Float64() < cfg.Idempotent {
-		c.repeat = burdockid.IdempotencyKey(name)
+		c.idempotencyKey = burdockid.IdempotencyKey(name)
 	}
 	return c
 }
@@ -98,8 +100,8 @@
 	return list[random.IntN(len(list))]
 }
 
-// promptOf returns a prompt that begins differently for each name, so that no
-// cache of prefixes serves one call from another.
-func promptOf(name string, words int) string {
+// uniquePrompt returns a prompt that starts with name, so that a prefix cache can't
+// serve one call from another.
+func uniquePrompt(name string, words int) string {
 	return name + strings.Repeat(" gain", max(0, words-2))
 }
