--- a/cmd/burdock-hosted/reload.go
+++ b/cmd/burdock-hosted/reload.go
@@ -42,7 +42,8 @@
 }
 
 // reload loads the settings and applies those that can change at run time. When not
-// requested by a signal, it logs only changes, the first of repeated failures and the recovery.
+// requested by a signal, it logs only changes, the first of repeated failures and
+// the recovery.
 func (w *settingsWatcher) reload(requested bool) {
 	now, err := w.load()
 	if err != nil {
