--- a/internal/tool/burdocktry/bench_test.go
+++ b/internal/tool/burdocktry/bench_test.go
@@ -10,16 +10,15 @@
 	"go.uber.org/zap"
 )
 
-// BenchmarkStreams runs every role in one process under 32 open streams, to
-// be read with -cpuprofile: the figures of each role alone come from
-// tools/measure-path.
+// BenchmarkStreams runs every role in one process with 32 open streams. Use it with
+// -cpuprofile; tools/measure-path measures each role separately.
 func BenchmarkStreams(b *testing.B) { benchmark(b, burdockload.Config{Streams: 32}) }
 
-// BenchmarkRequests does so under short requests, 400 a second.
+// BenchmarkRequests runs every role in one process under 400 short requests per second.
 func BenchmarkRequests(b *testing.B) { benchmark(b, burdockload.Config{Rate: 400}) }
 
 func benchmark(b *testing.B, cfg burdockload.Config) {
-	f, key := startConfigured(b)
+	f, key := startReadyFleet(b)
 	cfg.Duration, cfg.Timeout, cfg.Seed = 2*time.Second, time.Minute, 1
 	cfg.Mix, cfg.Model, cfg.Keys = burdockload.Mix{Streamed: 1}, modelName, []string{key}
 	cfg.Tokens, cfg.StreamTokens, cfg.Prompt = 2, 2000, 64
@@ -35,8 +34,8 @@
 	b.ReportMetric(float64(burdockload.Span(total.FirstToken, 99).Microseconds()), "firstToken-p99-us")
 }
 
-// startConfigured starts a fleet that is ready, and returns a customer's key.
-func startConfigured(t testing.TB) (*fleet, string) {
+// startReadyFleet starts a fleet, waits until it is ready and returns a customer's key.
+func startReadyFleet(t testing.TB) (*fleet, string) {
 	t.Helper()
 	f, err := startFleet(zap.NewNop())
 	if err != nil {
--- a/internal/tool/burdocktry/fleet.go
+++ b/internal/tool/burdocktry/fleet.go
@@ -30,15 +30,15 @@
 
 var dataCentres = []burdockid.DataCentre{"gua-hall-a", "gua-hall-b", "gua-hall-c"}
 
-// fleet is every role and stand-in, in one process.
+// fleet holds an instance of every role and stand-in in one process.
 type fleet struct {
-	standins []*burdockstandin.Running
-	store    *burdockstandin.Running
-	list     *burdockstandin.Running
-	agents   []*burdockprocess.Agent
-	entries  []*burdockprocess.Entry
-	members  burdockmember.Fleet
-	log      *zap.Logger
+	standins       []*burdockstandin.Running
+	store          *burdockstandin.Running
+	membershipList *burdockstandin.Running
+	agents         []*burdockprocess.Agent
+	entries        []*burdockprocess.Entry
+	members        burdockmember.Fleet
+	log            *zap.Logger
 }
 
 // startFleet starts the stand-ins, then agents and entries.
@@ -54,7 +54,7 @@
 	return f, nil
 }
 
-func (f *fleet) standin(cfg burdockstandin.Config) (*burdockstandin.Running, error) {
+func (f *fleet) startStandin(cfg burdockstandin.Config) (*burdockstandin.Running, error) {
 	cfg.Address = anyPort
 	running, err := burdockstandin.Start(cfg)
 	if err == nil {
@@ -64,10 +64,10 @@
 }
 
 func (f *fleet) startPlatform() (err error) {
-	if f.store, err = f.standin(burdockstandin.Config{Kind: burdockstandin.Store}); err != nil {
+	if f.store, err = f.startStandin(burdockstandin.Config{Kind: burdockstandin.Store}); err != nil {
 		return err
 	}
-	f.list, err = f.standin(burdockstandin.Config{Kind: burdockstandin.List})
+	f.membershipList, err = f.startStandin(burdockstandin.Config{Kind: burdockstandin.List})
 	return err
 }
 
@@ -91,14 +91,14 @@
 }
 
 func (f *fleet) startAgent(service burdockid.Service, kind burdockmember.Kind, i int, upstream burdockstandin.Config) error {
-	running, err := f.standin(upstream)
+	running, err := f.startStandin(upstream)
 	if err != nil {
 		return err
 	}
 	name := fmt.Sprintf("%s-%02d", service, i+1)
 	var settings burdocksettings.Agent
 	settings.SetDefaults()
-	f.common(&settings.Common, name, i)
+	f.setCommon(&settings.Common, name, i)
 	settings.Upstream = burdockid.Upstream(name)
 	settings.EngineAddress = running.Address()
 	settings.Kind = kind
@@ -122,7 +122,7 @@
 	for i := range entryCount {
 		var settings burdocksettings.Entry
 		settings.SetDefaults()
-		f.common(&settings.Common, fmt.Sprintf("entry-%d", i+1), i)
+		f.setCommon(&settings.Common, fmt.Sprintf("entry-%d", i+1), i)
 		settings.Listen = anyPort
 		entry, err := burdockprocess.StartEntry(settings, f.log)
 		if err != nil {
@@ -136,18 +136,18 @@
 	return nil
 }
 
-func (f *fleet) common(c *burdocksettings.Common, vm string, i int) {
+func (f *fleet) setCommon(c *burdocksettings.Common, vm string, i int) {
 	c.Site = "gt-gua"
 	c.DataCentre = dataCentres[i%len(dataCentres)]
 	c.VM = burdockid.VM(vm)
 	c.PeerListen = anyPort
 	c.AdminListen = anyPort
 	c.StoreAddresses = []string{f.store.Address()}
-	c.MembershipAddress = f.list.Address()
+	c.MembershipAddress = f.membershipList.Address()
 	c.PlainText = burdocksettings.PlainTextAccepted
 }
 
-// membership returns the fleet as an operator would describe it.
+// membership returns the fleet's description as an operator would write it.
 func (f *fleet) membership(keyHash string) burdockmember.Fleet {
 	m := f.members
 	m.Site = "gt-gua"
@@ -166,8 +166,8 @@
 	return m
 }
 
-// profile returns the profile that the trial runs under.
-func profile() burdockprofile.Profile {
+// trialProfile returns the profile of the trial's services.
+func trialProfile() burdockprofile.Profile {
 	var p burdockprofile.Profile
 	p.SetDefaults()
 	p.Name = "bench"
@@ -181,28 +181,28 @@
 	return p
 }
 
-// stopping is the planned stop of one process.
-type stopping struct {
+// processStop drains one process.
+type processStop struct {
 	process interface{ Stop() }
-	done    *sync.WaitGroup
+	wg      *sync.WaitGroup
 }
 
-func (s stopping) run() {
-	defer s.done.Done()
+func (s processStop) run() {
+	defer s.wg.Done()
 	s.process.Stop()
 }
 
-// close stops all processes beside each other, then the stand-ins.
+// close stops all processes concurrently, then the stand-ins.
 func (f *fleet) close() {
-	var done sync.WaitGroup
-	done.Add(len(f.entries) + len(f.agents))
+	var wg sync.WaitGroup
+	wg.Add(len(f.entries) + len(f.agents))
 	for _, e := range f.entries {
-		go stopping{process: e, done: &done}.run()
+		go processStop{process: e, wg: &wg}.run()
 	}
 	for _, a := range f.agents {
-		go stopping{process: a, done: &done}.run()
+		go processStop{process: a, wg: &wg}.run()
 	}
-	done.Wait()
+	wg.Wait()
 	for _, s := range f.standins {
 		s.Close()
 	}
--- a/internal/tool/burdocktry/metrics_test.go
+++ b/internal/tool/burdocktry/metrics_test.go
@@ -14,13 +14,13 @@
 
 const metricsPage = "../../../docs/METRICS.md"
 
-// described is the name at the start of a row of the page's tables.
-var described = regexp.MustCompile("(?m)^\\| `(burdock_[a-z_]+)`")
+// documentedMetric matches the metric name at the start of a row of the page's tables.
+var documentedMetric = regexp.MustCompile("(?m)^\\| `(burdock_[a-z_]+)`")
 
-// exported is the name at the start of a sample.
-var exported = regexp.MustCompile(`(?m)^([a-z_]+)`)
+// sampleName matches the name at the start of an exported sample.
+var sampleName = regexp.MustCompile(`(?m)^([a-z_]+)`)
 
-// scrape returns what a process exports.
+// scrape returns the metrics page of a process.
 func scrape(t *testing.T, admin string) string {
 	t.Helper()
 	res, err := http.Get("http://" + admin + burdockadmin.PathMetrics)
@@ -35,8 +35,9 @@
 	return string(body)
 }
 
-// family returns the name that a sample's name belongs to.
-func family(name string, page map[string]bool) string {
+// metricFamily returns the name of the metric that a sample belongs to: a histogram
+// has samples with suffixes.
+func metricFamily(name string, page map[string]bool) string {
 	for _, suffix := range []string{"_bucket", "_sum", "_count"} {
 		if base, ok := strings.CutSuffix(name, suffix); ok && page[base] {
 			return base
@@ -45,21 +46,21 @@
 	return name
 }
 
-// Every metric that an entry or an agent exports, after requests of each kind,
-// is described in the page, and the page describes none that they don't have.
+// After requests of each kind, the page describes every metric that an entry or an
+// agent exports, and no metric that they don't export.
 func TestMetricsPageDescribesWhatIsExported(t *testing.T) {
 	data, err := os.ReadFile(metricsPage)
 	if err != nil {
 		t.Fatal(err)
 	}
 	page := map[string]bool{}
-	for _, match := range described.FindAllStringSubmatch(string(data), -1) {
+	for _, match := range documentedMetric.FindAllStringSubmatch(string(data), -1) {
 		page[match[1]] = true
 	}
 	seen := map[string]bool{}
-	for _, text := range exportedAfterTrials(t) {
-		for _, match := range exported.FindAllStringSubmatch(text, -1) {
-			name := family(match[1], page)
+	for _, text := range metricsAfterRequests(t) {
+		for _, match := range sampleName.FindAllStringSubmatch(text, -1) {
+			name := metricFamily(match[1], page)
 			seen[name] = true
 			if !page[name] && !strings.HasPrefix(name, "process_") && !strings.HasPrefix(name, "go_") {
 				t.Errorf("%s is exported and not described in %s", name, metricsPage)
@@ -73,22 +74,22 @@
 	}
 }
 
-// exportedAfterTrials runs a fleet, sends requests of each kind and one that
-// is refused, and returns what its processes export.
-func exportedAfterTrials(t *testing.T) []string {
+// metricsAfterRequests starts a fleet, sends requests of each kind and one that is
+// refused, and returns the metrics pages of its processes.
+func metricsAfterRequests(t *testing.T) []string {
 	t.Helper()
-	f, key := startConfigured(t)
-	if err := f.sendEach(context.Background(), io.Discard, key); err != nil {
+	f, key := startReadyFleet(t)
+	if err := f.sendSampleRequests(context.Background(), io.Discard, key); err != nil {
 		t.Fatal(err)
 	}
 	for _, a := range f.agents {
 		a.Drain()
 	}
 	client := &http.Client{Timeout: sendTimeout}
-	refused := trial{method: http.MethodPost, path: "/v1/chat/completions", body: chatBody(false)}
+	refused := sampleRequest{method: http.MethodPost, path: "/v1/chat/completions", body: chatBody(false)}
 	status, body, err := refused.send(context.Background(), client, "http://"+f.entries[0].Address(), key)
 	if err != nil || status != http.StatusServiceUnavailable {
-		t.Fatalf("a request while all agents stop: got status %d, %v, %s", status, err, body)
+		t.Fatalf("a request while all agents drain: got status %d, %v, %s", status, err, body)
 	}
 	var texts []string
 	for _, e := range f.entries {
--- a/internal/tool/burdocktry/send.go
+++ b/internal/tool/burdocktry/send.go
@@ -13,8 +13,8 @@
 
 const sendTimeout = 30 * time.Second
 
-// trial is one request that the trial sends.
-type trial struct {
+// sampleRequest is a request that the trial sends, with the status that it expects.
+type sampleRequest struct {
 	title  string
 	method string
 	path   string
@@ -22,7 +22,7 @@
 	status int
 }
 
-var trials = []trial{
+var sampleRequests = []sampleRequest{
 	{"chat", http.MethodPost, "/v1/chat/completions", chatBody(false), http.StatusOK},
 	{"chat, streamed", http.MethodPost, "/v1/chat/completions", chatBody(true), http.StatusOK},
 	{"plain service, may be repeated", http.MethodGet, "/licence/17", "", http.StatusOK},
@@ -35,25 +35,26 @@
 	return fmt.Sprintf(`{"model":%q,"stream":%v,"max_tokens":5,"messages":[{"role":"user","content":"a two-stage amplifier"}]}`, modelName, stream)
 }
 
-// sendEach sends the trials to the entries in turn and prints the answers.
-func (f *fleet) sendEach(ctx context.Context, w io.Writer, key string) error {
+// sendSampleRequests sends the sample requests to the entries in turn and prints the
+// answers.
+func (f *fleet) sendSampleRequests(ctx context.Context, w io.Writer, key string) error {
 	client := &http.Client{Timeout: sendTimeout}
-	for i, t := range trials {
+	for i, r := range sampleRequests {
 		base := "http://" + f.entries[i%len(f.entries)].Address()
-		status, body, err := t.send(ctx, client, base, key)
+		status, body, err := r.send(ctx, client, base, key)
 		if err != nil {
-			return errorx.Decorate(err, "%s", t.title)
+			return errorx.Decorate(err, "%s", r.title)
 		}
-		_, _ = fmt.Fprintf(w, "== %s: %s %s -> %d\n%s\n\n", t.title, t.method, t.path, status, strings.TrimSpace(body))
-		if status != t.status {
-			return errorx.ExternalError.New("%s: status %d, want %d", t.title, status, t.status)
+		_, _ = fmt.Fprintf(w, "== %s: %s %s -> %d\n%s\n\n", r.title, r.method, r.path, status, strings.TrimSpace(body))
+		if status != r.status {
+			return errorx.ExternalError.New("%s: status %d, want %d", r.title, status, r.status)
 		}
 	}
 	return nil
 }
 
-func (t trial) send(ctx context.Context, client *http.Client, base, key string) (int, string, error) {
-	req, err := http.NewRequestWithContext(ctx, t.method, base+t.path, strings.NewReader(t.body))
+func (r sampleRequest) send(ctx context.Context, client *http.Client, base, key string) (int, string, error) {
+	req, err := http.NewRequestWithContext(ctx, r.method, base+r.path, strings.NewReader(r.body))
 	if err != nil {
 		return 0, "", err
 	}
--- a/internal/tool/burdocktry/try.go
+++ b/internal/tool/burdocktry/try.go
@@ -1,5 +1,5 @@
-// Package burdocktry runs every role and stand-in in one process on loopback,
-// for a first look at the system.
+// Package burdocktry runs every role and stand-in in one process on loopback, to try
+// the system out.
 package burdocktry
 
 import (
@@ -21,12 +21,13 @@
 )
 
 const (
-	readyTimeout = 15 * time.Second
-	readyCheck   = 50 * time.Millisecond
+	readyTimeout      = 15 * time.Second
+	readyPollInterval = 50 * time.Millisecond
 )
 
-// Run starts the fleet and prints how to use it. With once it sends requests
-// of each kind, prints the answers and ends; otherwise it ends with ctx.
+// Run starts the fleet and prints its addresses and an example request. With once set
+// it sends requests of each kind, prints the answers and returns; otherwise it
+// returns when ctx ends.
 func Run(ctx context.Context, w io.Writer, once bool) error {
 	log := burdockmain.NewLog(os.Stderr, "warn")
 	f, err := startFleet(log)
@@ -43,15 +44,15 @@
 	}
 	f.print(w, key)
 	if once {
-		return f.sendEach(ctx, w, key)
+		return f.sendSampleRequests(ctx, w, key)
 	}
 	<-ctx.Done()
 	return nil
 }
 
-// configure applies profile and membership, as an operator would.
+// configure writes the profile and the membership to the store, as an operator would.
 func (f *fleet) configure(ctx context.Context, key string) error {
-	profiles, err := burdockprofile.Split([]burdockprofile.Profile{profile()})
+	profiles, err := burdockprofile.Split([]burdockprofile.Profile{trialProfile()})
 	if err != nil {
 		return err
 	}
@@ -73,14 +74,14 @@
 	return err
 }
 
-// waitReady waits until every process holds the same configuration.
+// waitReady waits until every process is ready and has the same configuration.
 func (f *fleet) waitReady(ctx context.Context) error {
 	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) && ctx.Err() == nil {
 		if f.ready() {
 			return nil
 		}
-		time.Sleep(readyCheck)
+		time.Sleep(readyPollInterval)
 	}
 	return errorx.TimeoutElapsed.New("the processes did not take up the configuration within %v", readyTimeout)
 }
