--- a/internal/tool/burdockstory/story_test.go
+++ b/internal/tool/burdockstory/timeline_test.go
@@ -9,9 +9,9 @@
 	"burdockbend.example/burdockbend/internal/base/burdockgolden"
 )
 
-// A request was refused by one entry and answered by the next. Between the logs
-// stand lines of other programs, and one was cut as its process was killed.
-func TestStory(t *testing.T) {
+// One entry refuses a request and the next one answers it. The logs also contain
+// lines of other programs, and a line truncated when its process was killed.
+func TestTimeline(t *testing.T) {
 	var logs []Log
 	for _, name := range []string{"entry-1.log", "entry-2.log"} {
 		data, err := os.ReadFile(filepath.Join("testdata", name))
@@ -21,12 +21,12 @@
 		logs = append(logs, Log{Name: name, Lines: strings.NewReader(string(data))})
 	}
 	for _, request := range []string{"r1", "unknown"} {
-		story, err := Read(request, logs)
+		timeline, err := Read(request, logs)
 		if err != nil {
 			t.Fatal(err)
 		}
 		var got strings.Builder
-		if err := story.Print(&got); err != nil {
+		if err := timeline.Print(&got); err != nil {
 			t.Fatal(err)
 		}
 		burdockgolden.Compare(t, request, got.String())
