--- a/internal/tool/burdockcheck/check.go
+++ b/internal/tool/burdockcheck/check.go
@@ -1,5 +1,5 @@
-// Package burdockcheck holds the operators' commands that check a file without
-// a store, and the one that makes a customer's key.
+// Package burdockcheck provides the operators' commands that check a file without
+// access to the store, and the command that creates a customer's key.
 package burdockcheck
 
 import (
@@ -18,7 +18,7 @@
 // The exit statuses of the operators' commands.
 const (
 	StatusOK       = 0
-	StatusFailed   = 1 // such as a file that can't be read
+	StatusFailed   = 1 // for example, a file can't be read
 	StatusFindings = 2 // the input, or the command line, is wrong
 )
 
@@ -27,7 +27,7 @@
 // ErrUsage is the type of an error in the command line.
 var ErrUsage = namespace.NewType("usage")
 
-// Status returns the exit status for the error of a command.
+// Status returns the exit status for a command's error.
 func Status(err error) int {
 	var findings *burdockfinding.Error
 	switch {
@@ -39,7 +39,7 @@
 	return StatusFailed
 }
 
-// Run runs a command, writes its error to w, and returns the exit status.
+// Run runs a command, writes its error to w and returns the exit status.
 func Run(ctx context.Context, cmd *ffcli.Command, args []string, w io.Writer) int {
 	err := parseAndRun(ctx, cmd, args)
 	if err != nil && !errors.Is(err, flag.ErrHelp) {
@@ -58,7 +58,7 @@
 	return cmd.Run(ctx)
 }
 
-// Message returns an error for an operator, without the name of its type.
+// Message returns the text of an error without the name of its errorx type.
 func Message(err error) string {
 	if typed := errorx.Cast(err); typed != nil && typed.Cause() == nil {
 		return typed.Message()
@@ -66,8 +66,8 @@
 	return err.Error()
 }
 
-// oneFile returns the name and content of the one file that a command takes.
-func oneFile(usage string, args []string) (string, []byte, error) {
+// readOneFile returns the name and content of a command's only argument, a file.
+func readOneFile(usage string, args []string) (string, []byte, error) {
 	if len(args) != 1 {
 		return "", nil, ErrUsage.New("usage: %s", usage)
 	}
@@ -75,8 +75,8 @@
 	return args[0], data, err
 }
 
-// flagsAfterFile parses flags that stand after the file, where the flag
-// package does not look for them, and returns the arguments without them.
+// flagsAfterFile parses flags after the file argument, which the flag package does
+// not parse, and returns the arguments without them.
 func flagsAfterFile(fs *flag.FlagSet, args []string) ([]string, error) {
 	if len(args) < 2 {
 		return args, nil
--- a/internal/tool/burdockcheck/check_test.go
+++ b/internal/tool/burdockcheck/check_test.go
@@ -26,7 +26,7 @@
 func settings(w *bytes.Buffer) *ffcli.Command { return SettingsCommand(w) }
 func key(w *bytes.Buffer) *ffcli.Command      { return KeyCommand(w) }
 
-// runCase checks a file of testdata by the command that its name starts with.
+// runCase checks a testdata file with the command that its name starts with.
 func runCase(t *testing.T, file string) (int, string) {
 	t.Helper()
 	kind, _, _ := strings.Cut(filepath.Base(file), "-")
@@ -106,7 +106,7 @@
 	}
 }
 
-func TestKeyAndHashBelongTogether(t *testing.T) {
+func TestKeyMatchesItsHash(t *testing.T) {
 	status, output := run(key)
 	if status != StatusOK {
 		t.Fatalf("status = %d, want %d", status, StatusOK)
--- a/internal/tool/burdockcheck/doc_test.go
+++ b/internal/tool/burdockcheck/doc_test.go
@@ -15,13 +15,13 @@
 	"burdockbend.example/burdockbend/internal/config/burdocktoml"
 )
 
-// chapters are the parts of the page that describe keys.
-var chapters = []struct {
-	heading string
-	prefix  string
-	value   any // whose fields the chapter describes
-	without any // whose fields another chapter describes
-	load    func(data []byte) error
+// sections are the sections of docs/CONFIGURATION.md that describe keys.
+var sections = []struct {
+	heading  string
+	prefix   string
+	value    any // struct whose fields the section describes
+	excluded any // struct whose fields another section describes
+	load     func(data []byte) error
 }{
 	{"Settings of every process", "", burdocksettings.Common{}, nil, nil},
 	{"Settings of an entry", "", burdocksettings.Entry{}, burdocksettings.Common{}, func(data []byte) error {
@@ -43,27 +43,27 @@
 }
 
 var (
-	row     = regexp.MustCompile("(?m)^\\| `([^`]+)` \\| [^|]+ \\| ([^|]+) \\| [^|]+ \\|$")
-	example = regexp.MustCompile("(?s)```toml\n(.*?)```")
+	tableRow     = regexp.MustCompile("(?m)^\\| `([^`]+)` \\| [^|]+ \\| ([^|]+) \\| [^|]+ \\|$")
+	exampleBlock = regexp.MustCompile("(?s)```toml\n(.*?)```")
 )
 
-// readChapters returns the text under each heading of the page.
-func readChapters(t *testing.T) map[string]string {
+// readSections returns the text under each heading of the page.
+func readSections(t *testing.T) map[string]string {
 	t.Helper()
 	page, err := os.ReadFile(filepath.Join("..", "..", "..", "docs", "CONFIGURATION.md"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	texts := map[string]string{}
-	for _, chapter := range strings.Split(string(page), "\n## ")[1:] {
-		heading, text, _ := strings.Cut(chapter, "\n")
+	for _, section := range strings.Split(string(page), "\n## ")[1:] {
+		heading, text, _ := strings.Cut(section, "\n")
 		texts[heading] = text
 	}
 	return texts
 }
 
-// defaults returns the default of each key within a struct type, as the page
-// writes it; "" stands for a zero value.
+// defaults returns the default of each key of a struct type, formatted as on the
+// page; "" means the zero value.
 func defaults(t reflect.Type, prefix string) map[string]string {
 	keys := map[string]string{}
 	if prefix != "" {
@@ -98,46 +98,46 @@
 }
 
 func TestPageDescribesEveryKeyAndDefault(t *testing.T) {
-	texts := readChapters(t)
-	for _, chapter := range chapters {
-		want := defaults(reflect.TypeOf(chapter.value), chapter.prefix)
-		if chapter.without != nil {
-			for key := range defaults(reflect.TypeOf(chapter.without), "") {
+	texts := readSections(t)
+	for _, section := range sections {
+		want := defaults(reflect.TypeOf(section.value), section.prefix)
+		if section.excluded != nil {
+			for key := range defaults(reflect.TypeOf(section.excluded), "") {
 				delete(want, key)
 			}
 		}
-		for _, match := range row.FindAllStringSubmatch(texts[chapter.heading], -1) {
+		for _, match := range tableRow.FindAllStringSubmatch(texts[section.heading], -1) {
 			key, got := match[1], match[2]
 			text, ok := want[key]
 			delete(want, key)
 			switch {
 			case !ok:
-				t.Errorf("%s: the page describes %q, which is no key, or twice", chapter.heading, key)
+				t.Errorf("%s: the page describes %q, which is not a key, or describes it twice", section.heading, key)
 			case text == "" && got != "required" && got != "none" && got != "`false`" && got != "`0`":
-				t.Errorf("%s: default of %q = %s, want that of a zero value", chapter.heading, key, got)
+				t.Errorf("%s: default of %q = %s, want that of the zero value", section.heading, key, got)
 			case text != "" && got != text:
-				t.Errorf("%s: default of %q = %s, want %s", chapter.heading, key, got, text)
+				t.Errorf("%s: default of %q = %s, want %s", section.heading, key, got, text)
 			}
 		}
 		for key := range want {
-			t.Errorf("%s: the page does not describe %q", chapter.heading, key)
+			t.Errorf("%s: the page does not describe %q", section.heading, key)
 		}
 	}
 }
 
 func TestPageExamplesHaveNoFindings(t *testing.T) {
-	texts := readChapters(t)
-	for _, chapter := range chapters {
-		if chapter.load == nil {
+	texts := readSections(t)
+	for _, section := range sections {
+		if section.load == nil {
 			continue
 		}
-		examples := example.FindAllStringSubmatch(texts[chapter.heading], -1)
+		examples := exampleBlock.FindAllStringSubmatch(texts[section.heading], -1)
 		if len(examples) == 0 {
-			t.Errorf("%s: no example", chapter.heading)
+			t.Errorf("%s: no example", section.heading)
 		}
 		for _, match := range examples {
-			if err := chapter.load([]byte(match[1])); err != nil {
-				t.Errorf("%s:\n%v", chapter.heading, err)
+			if err := section.load([]byte(match[1])); err != nil {
+				t.Errorf("%s:\n%v", section.heading, err)
 			}
 		}
 	}
--- a/internal/tool/burdockcheck/fleet.go
+++ b/internal/tool/burdockcheck/fleet.go
@@ -35,7 +35,7 @@
 }
 
 func checkFleet(args []string, profileFile string, w io.Writer) error {
-	file, data, err := oneFile(fleetUsage, args)
+	file, data, err := readOneFile(fleetUsage, args)
 	if err != nil {
 		return err
 	}
@@ -44,12 +44,12 @@
 		return err
 	}
 	fleet, doc := burdockmember.Decode(file, data, profiles)
-	// A fleet that could not be read in full would make every share that
-	// names a customer a finding.
+	// Shares are checked only against a fleet that was decoded in full. Otherwise
+	// every share that names a customer becomes a finding.
 	if profileDoc != nil && doc.Err() == nil {
 		profileDoc.Report(burdockmember.CheckShares(fleet, profiles))
 	}
-	if err := together(profileDoc, doc); err != nil {
+	if err := mergeFindings(profileDoc, doc); err != nil {
 		return err
 	}
 	fmt.Fprintf(w, "%s: no findings; services: %d, upstreams: %d, entries: %d, customers: %d\n",
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// readProfiles returns no document when no file is named.
+// readProfiles returns a nil document if file is empty.
 func readProfiles(file string) ([]burdockprofile.Profile, *burdocktoml.Document, error) {
 	if file == "" {
 		return nil, nil, nil
@@ -70,8 +70,8 @@
 	return profiles, doc, nil
 }
 
-// together returns the findings of several documents as one error.
-func together(docs ...*burdocktoml.Document) error {
+// mergeFindings returns the findings of several documents as one error.
+func mergeFindings(docs ...*burdocktoml.Document) error {
 	var all burdockfinding.List
 	for _, doc := range docs {
 		if doc != nil {
--- a/internal/tool/burdockcheck/key.go
+++ b/internal/tool/burdockcheck/key.go
@@ -18,12 +18,13 @@
 		ShortUsage: keyUsage,
 		ShortHelp:  "make a customer's key, and the hash of it for the fleet's membership",
 		FlagSet:    newFlagSet(keyUsage, w),
-		Exec:       func(_ context.Context, args []string) error { return makeKey(args, w) },
+		Exec:       func(_ context.Context, args []string) error { return createKey(args, w) },
 	}
 }
 
-// makeKey prints the key this once: it is kept nowhere.
-func makeKey(args []string, w io.Writer) error {
+// createKey prints a new key and its hash. The key is not stored, so it can't be
+// shown again.
+func createKey(args []string, w io.Writer) error {
 	if len(args) > 0 {
 		return ErrUsage.New("usage: %s", keyUsage)
 	}
--- a/internal/tool/burdockcheck/profile.go
+++ b/internal/tool/burdockcheck/profile.go
@@ -23,7 +23,7 @@
 }
 
 func checkProfiles(args []string, w io.Writer) error {
-	file, data, err := oneFile(profileUsage, args)
+	file, data, err := readOneFile(profileUsage, args)
 	if err != nil {
 		return err
 	}
--- a/internal/tool/burdockcheck/settings.go
+++ b/internal/tool/burdockcheck/settings.go
@@ -32,7 +32,7 @@
 	if len(args) == 0 || args[0] != roleEntry && args[0] != roleAgent {
 		return ErrUsage.New("usage: %s", settingsUsage)
 	}
-	file, data, err := oneFile(settingsUsage, args[1:])
+	file, data, err := readOneFile(settingsUsage, args[1:])
 	if err != nil {
 		return err
 	}
