--- a/internal/tool/burdockcli/apply.go
+++ b/internal/tool/burdockcli/apply.go
@@ -10,66 +10,66 @@
 	"github.com/joomcode/errorx"
 )
 
-// tally counts what came of the edits of one command.
-type tally struct{ applied, refused, unknown, untried int }
+// editCounts counts the edits of one command by outcome.
+type editCounts struct{ applied, refused, unknown, untried int }
 
-func (t tally) err() error {
-	if t.refused+t.unknown+t.untried == 0 {
+func (counts editCounts) err() error {
+	if counts.refused+counts.unknown+counts.untried == 0 {
 		return nil
 	}
 	return errorx.ExternalError.New("%d edits applied, %d not applied, %d with unknown outcome, %d not tried; it is safe to run the command again",
-		t.applied, t.refused, t.unknown, t.untried)
+		counts.applied, counts.refused, counts.unknown, counts.untried)
 }
 
-// apply writes edits one by one and prints each. It goes on after one that
-// lost a race, so that the operator sees the whole outcome.
+// apply writes edits one by one and prints the outcome of each. It continues after an
+// edit that lost a race, and the operator sees the outcome of all edits.
 //
-// It ends when the store gives no answer. Failure: the store goes down between
-// two of a fleet's thousands of edits. Symptom: each further one is tried for
-// up to 18 s, and the command seems to hang for hours. What was not tried is
-// counted, and a second run does just the rest.
-func (c *CLI) apply(ctx context.Context, store burdockstore.Store, entries map[string]burdockconfig.Entry, list []burdocksync.Edit) error {
-	if len(list) == 0 {
+// It stops when the store does not answer. A fleet can have thousands of edits, and
+// each one is tried for up to 18 s: if the store goes down in between, the command
+// would seem to hang for hours. The remaining edits are counted as untried, and a
+// second run applies only these.
+func (c *CLI) apply(ctx context.Context, store burdockstore.Store, entries map[string]burdockconfig.Entry, edits []burdocksync.Edit) error {
+	if len(edits) == 0 {
 		_, _ = fmt.Fprintln(c.stdout, "nothing to change")
 	}
 	writer := burdocksync.NewWriter(store)
-	var t tally
-	for i, edit := range list {
+	var counts editCounts
+	for i, edit := range edits {
 		e, err := writer.Write(ctx, edit)
-		c.report(&t, edit, entries[edit.Key], e, err)
-		if unanswered(err) {
-			t.untried = len(list) - i - 1
+		c.report(&counts, edit, entries[edit.Key], e, err)
+		if storeUnavailable(err) {
+			counts.untried = len(edits) - i - 1
 			break
 		}
 	}
-	return t.err()
+	return counts.err()
 }
 
-// report prints what came of one edit. The operator sees what it replaced, or
-// what another operator's edit has changed.
-func (c *CLI) report(t *tally, edit burdocksync.Edit, before, now burdockconfig.Entry, err error) {
+// report prints the outcome of one edit, with the fields that it replaced, or, if it
+// lost a race, those that another operator's edit changed.
+func (c *CLI) report(counts *editCounts, edit burdocksync.Edit, before, now burdockconfig.Entry, err error) {
 	switch {
 	case err == nil:
-		t.applied++
+		counts.applied++
 		_, _ = fmt.Fprintf(c.stdout, "%s: %s version %d\n", now.Key, verb(edit), now.Version)
 		if before.Version > 0 {
 			c.printDifferences("was", before, "is", now)
 		}
 	case errorx.IsOfType(err, burdocksync.ErrOutcomeUnknown):
-		t.unknown++
+		counts.unknown++
 		_, _ = fmt.Fprintf(c.stdout, "%s: outcome unknown, it may be applied: %v\n", edit.Key, err)
 	case errorx.IsOfType(err, burdocksync.ErrRace):
-		t.refused++
+		counts.refused++
 		_, _ = fmt.Fprintf(c.stdout, "%s: not applied: %v\n", edit.Key, err)
 		c.printDifferences("was", before, "is", now)
 	default:
-		t.refused++
+		counts.refused++
 		_, _ = fmt.Fprintf(c.stdout, "%s: not applied: %v\n", edit.Key, err)
 	}
 }
 
-// unanswered reports whether the store gave no answer within all tries.
-func unanswered(err error) bool {
+// storeUnavailable reports whether the store answered none of the attempts.
+func storeUnavailable(err error) bool {
 	if errorx.IsOfType(err, burdockstore.ErrUnavailable) {
 		return true
 	}
--- a/internal/tool/burdockcli/compare.go
+++ b/internal/tool/burdockcli/compare.go
@@ -16,7 +16,7 @@
 )
 
 func (c *CLI) config() *ffcli.Command {
-	return c.group("config", "compare the configuration in the store and in processes", c.configCompare())
+	return c.groupCommand("config", "compare the configuration in the store and in processes", c.configCompare())
 }
 
 func (c *CLI) configCompare() *ffcli.Command {
@@ -40,24 +40,24 @@
 				return usage("at least one process must be named")
 			}
 			entries, err := listEntries(ctx, store)
-			holders := []holder{holderOfStore(entries, err)}
+			holders := []holder{storeHolder(entries, err)}
 			for _, address := range addresses {
-				holders = append(holders, holderAt(ctx, address))
+				holders = append(holders, processHolder(ctx, address))
 			}
 			return c.printComparison(holders)
 		},
 	}
 }
 
-// heldVersion is one key as the store or a process holds it.
-type heldVersion struct {
+// keyVersion is the version of one key in the store or in a process.
+type keyVersion struct {
 	Version burdockid.Version `json:"version"`
 	Mark    string            `json:"mark"`
 	Deleted bool              `json:"deleted"`
 }
 
-// String returns the version as a column shows it.
-func (v heldVersion) String() string {
+// String formats the version for a table cell.
+func (v keyVersion) String() string {
 	switch {
 	case v.Version == 0:
 		return "-"
@@ -68,27 +68,27 @@
 	}
 }
 
-// holder is the store, or a process, with what it holds.
+// holder is the store or a process, with the configuration versions that it holds.
 type holder struct {
 	name     string
 	role     string
 	digest   burdockconfig.Digest
-	versions map[string]heldVersion
+	versions map[string]keyVersion
 	err      error
 }
 
-func holderOfStore(entries map[string]burdockconfig.Entry, err error) holder {
-	h := holder{name: "store", role: "store", versions: map[string]heldVersion{}, err: err}
+func storeHolder(entries map[string]burdockconfig.Entry, err error) holder {
+	h := holder{name: "store", role: "store", versions: map[string]keyVersion{}, err: err}
 	view := burdockconfig.NewView()
 	view.Merge(slices.Collect(maps.Values(entries)))
 	h.digest = view.Digest()
 	for key, e := range entries {
-		h.versions[key] = heldVersion{Version: e.Version, Mark: e.Mark, Deleted: e.Deleted}
+		h.versions[key] = keyVersion{Version: e.Version, Mark: e.Mark, Deleted: e.Deleted}
 	}
 	return h
 }
 
-func holderAt(ctx context.Context, address string) holder {
+func processHolder(ctx context.Context, address string) holder {
 	h := holder{name: address, role: "-"}
 	state, err := fetchState(ctx, address)
 	if err != nil {
@@ -100,34 +100,34 @@
 		Config struct {
 			Digest burdockconfig.Digest `json:"digest"`
 		} `json:"config"`
-		Versions map[string]heldVersion `json:"versions"`
+		Versions map[string]keyVersion `json:"versions"`
 	}
 	h.err = json.Unmarshal(state, &dump)
 	h.role, h.digest, h.versions = dump.Role, dump.Config.Digest, dump.Versions
 	return h
 }
 
-// printComparison prints one line for each holder and one for each key in
-// which they differ.
+// printComparison prints one line per holder, and one per key whose versions differ.
+// It returns an error if a holder did not answer or a key differs.
 func (c *CLI) printComparison(holders []holder) error {
 	w := tabwriter.NewWriter(c.stdout, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, "HOLDER\tROLE\tDIGEST\tKEYS")
-	var answering []holder
+	var answered []holder
 	for _, h := range holders {
 		if h.err != nil {
 			_, _ = fmt.Fprintf(w, "%s\t%s\tno answer\t%v\n", h.name, h.role, h.err)
 			continue
 		}
-		answering = append(answering, h)
+		answered = append(answered, h)
 		_, _ = fmt.Fprintf(w, "%s\t%s\t%016x\t%d\n", h.name, h.role, uint64(h.digest), len(h.versions))
 	}
-	keys := differingKeys(answering)
-	printKeys(w, answering, keys)
+	keys := differingKeys(answered)
+	printKeys(w, answered, keys)
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	if silent := len(holders) - len(answering); silent > 0 || len(keys) > 0 {
-		return errorx.ExternalError.New("%d holders did not answer, %d keys differ among the others", silent, len(keys))
+	if unanswered := len(holders) - len(answered); unanswered > 0 || len(keys) > 0 {
+		return errorx.ExternalError.New("%d holders did not answer, %d keys differ among the others", unanswered, len(keys))
 	}
 	return nil
 }
@@ -150,20 +150,20 @@
 	}
 }
 
-// differingKeys returns the keys that not all holders hold alike.
+// differingKeys returns the keys whose versions are not the same in all holders.
 func differingKeys(holders []holder) []string {
-	all := map[string]bool{}
+	differing := map[string]bool{}
 	for _, h := range holders {
 		for key, version := range h.versions {
 			if version != holders[0].versions[key] {
-				all[key] = true
+				differing[key] = true
 			}
 		}
 		for key, version := range holders[0].versions {
 			if version != h.versions[key] {
-				all[key] = true
+				differing[key] = true
 			}
 		}
 	}
-	return slices.Sorted(maps.Keys(all))
+	return slices.Sorted(maps.Keys(differing))
 }
--- a/internal/tool/burdockcli/difference.go
+++ b/internal/tool/burdockcli/difference.go
@@ -9,31 +9,32 @@
 	"burdockbend.example/burdockbend/internal/state/burdockconfig"
 )
 
-// absent stands for a field that an entry does not have.
+// absent is printed for a field that an entry does not have.
 const absent = "(absent)"
 
 // printDifferences prints each field in which two entries of one key differ.
 func (c *CLI) printDifferences(nameA string, a burdockconfig.Entry, nameB string, b burdockconfig.Entry) {
-	fieldsA, fieldsB := fieldsOf(a), fieldsOf(b)
+	fieldsA, fieldsB := leafFields(a), leafFields(b)
 	all := maps.Clone(fieldsA)
 	maps.Copy(all, fieldsB)
 	for _, path := range slices.Sorted(maps.Keys(all)) {
-		valueA, valueB := fieldOf(fieldsA, path), fieldOf(fieldsB, path)
+		valueA, valueB := fieldValue(fieldsA, path), fieldValue(fieldsB, path)
 		if valueA != valueB {
 			_, _ = fmt.Fprintf(c.stdout, "  %s: %s %s, %s %s\n", path, nameA, valueA, nameB, valueB)
 		}
 	}
 }
 
-func fieldOf(fields map[string]string, path string) string {
+func fieldValue(fields map[string]string, path string) string {
 	if value, ok := fields[path]; ok {
 		return value
 	}
 	return absent
 }
 
-// fieldsOf returns the leaves of an entry's JSON by their paths.
-func fieldsOf(e burdockconfig.Entry) map[string]string {
+// leafFields returns the leaf values of an entry's JSON by path. It returns no fields
+// if the entry is deleted or not valid JSON.
+func leafFields(e burdockconfig.Entry) map[string]string {
 	fields := map[string]string{}
 	var value any
 	if e.Deleted || json.Unmarshal(e.Value, &value) != nil {
@@ -55,7 +56,7 @@
 		}
 	default:
 		text, err := json.Marshal(value)
-		if err == nil { // what was decoded can be encoded
+		if err == nil { // decoded values can always be encoded
 			fields[path] = string(text)
 		}
 	}
--- a/internal/tool/burdockcli/explain.go
+++ b/internal/tool/burdockcli/explain.go
@@ -20,12 +20,12 @@
 			if len(args) == 0 {
 				return usage("burdock explain: the request's id is missing")
 			}
-			return c.printStory(args[0], args[1:])
+			return c.printTimeline(args[0], args[1:])
 		},
 	}
 }
 
-func (c *CLI) printStory(request string, files []string) error {
+func (c *CLI) printTimeline(request string, files []string) error {
 	logs := []burdockstory.Log{{Name: "stdin", Lines: os.Stdin}}
 	if len(files) > 0 {
 		logs = nil
@@ -38,9 +38,9 @@
 		defer func() { _ = file.Close() }()
 		logs = append(logs, burdockstory.Log{Name: name, Lines: file})
 	}
-	story, err := burdockstory.Read(request, logs)
+	timeline, err := burdockstory.Read(request, logs)
 	if err != nil {
 		return err
 	}
-	return story.Print(c.stdout)
+	return timeline.Print(c.stdout)
 }
--- a/internal/tool/burdockcli/fleet.go
+++ b/internal/tool/burdockcli/fleet.go
@@ -17,8 +17,8 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-// fleetPrefixes are the kinds of entities that a fleet file holds whole: what
-// the file leaves out is removed.
+// fleetPrefixes are the key prefixes of the entities that a fleet file lists in full:
+// an entity that is not in the file is removed from the store.
 var fleetPrefixes = []string{
 	burdockentity.ServicePrefix,
 	burdockentity.UpstreamPrefix,
@@ -27,13 +27,13 @@
 }
 
 func (c *CLI) fleet() *ffcli.Command {
-	return c.group("fleet", "check, apply and list the fleet's membership", burdockcheck.FleetCommand(c.stdout), c.fleetApply(), c.fleetList())
+	return c.groupCommand("fleet", "check, apply and list the fleet's membership", burdockcheck.FleetCommand(c.stdout), c.fleetApply(), c.fleetList())
 }
 
 func (c *CLI) fleetApply() *ffcli.Command {
 	flags := c.flags("burdock fleet apply")
 	storeAddress := storeFlag(flags)
-	gone := flags.String("gone", "", "upstreams whose VM is destroyed, with commas; needed to remove one that idempotency keys depend on")
+	destroyed := flags.String("gone", "", "upstreams whose VM is destroyed, with commas; needed to remove one that idempotency keys depend on")
 	return &ffcli.Command{
 		Name:       "apply",
 		ShortUsage: "burdock fleet apply -store IP:PORT [-gone NAMES] FILE",
@@ -46,12 +46,12 @@
 			if err != nil {
 				return err
 			}
-			return c.applyFleet(ctx, *storeAddress, strings.Split(*gone, ","), file, data)
+			return c.applyFleet(ctx, *storeAddress, strings.Split(*destroyed, ","), file, data)
 		},
 	}
 }
 
-func (c *CLI) applyFleet(ctx context.Context, storeAddress string, gone []string, file string, data []byte) error {
+func (c *CLI) applyFleet(ctx context.Context, storeAddress string, destroyed []string, file string, data []byte) error {
 	store, err := openStore(storeAddress)
 	if err != nil {
 		return err
@@ -72,34 +72,34 @@
 	if err != nil {
 		return err
 	}
-	list := edits(entries, wanted, fleetPrefixes...)
-	if err := checkRemoved(entries, list, gone); err != nil {
+	edits := diffEdits(entries, wanted, fleetPrefixes...)
+	if err := checkRemoved(entries, edits, destroyed); err != nil {
 		return err
 	}
-	return c.apply(ctx, store, entries, list)
+	return c.apply(ctx, store, entries, edits)
 }
 
-// checkRemoved refuses to remove an upstream that is the home of idempotency
-// keys, unless the operator says that its VM is gone.
+// checkRemoved refuses to remove an upstream that owns idempotency key slots, unless
+// the operator confirms that its VM is destroyed.
 //
-// Failure: an upstream that is only silent is taken out of the fleet, others
-// take over its keys, and it wakes or was running all along, cut off. Symptom:
-// a letter is sent twice. Nothing but its operators can know that a VM is
-// destroyed; one that was stopped as planned is the home of no key.
-func checkRemoved(entries map[string]burdockconfig.Entry, list []burdocksync.Edit, gone []string) error {
-	homes := map[string]int{}
+// An upstream that does not answer may be partitioned or paused and still run
+// requests. If it is removed, other upstreams take over its keys, and a request may
+// run twice. Only operators can know that a VM is destroyed. An upstream that was
+// stopped as planned owns no slot.
+func checkRemoved(entries map[string]burdockconfig.Entry, edits []burdocksync.Edit, destroyed []string) error {
+	slotsOwned := map[string]int{}
 	for key, e := range entries {
 		if !strings.HasPrefix(key, burdockhome.Prefix) {
 			continue
 		}
-		if _, _, home, err := burdockhome.Parse(e); err == nil {
-			homes[string(home.Upstream)]++
+		if _, _, owner, err := burdockhome.Parse(e); err == nil {
+			slotsOwned[string(owner.Upstream)]++
 		}
 	}
 	var refused []string
-	for _, edit := range list {
+	for _, edit := range edits {
 		name, isUpstream := strings.CutPrefix(edit.Key, burdockentity.UpstreamPrefix)
-		if edit.Deleted && isUpstream && homes[name] > 0 && !slices.Contains(gone, name) {
+		if edit.Deleted && isUpstream && slotsOwned[name] > 0 && !slices.Contains(destroyed, name) {
 			refused = append(refused, name)
 		}
 	}
@@ -112,7 +112,7 @@
 }
 
 func (c *CLI) fleetList() *ffcli.Command {
-	return c.listing("fleet list", "list the services and upstreams in the store", func(entries map[string]burdockconfig.Entry) error {
+	return c.listCommand("fleet list", "list the services and upstreams in the store", func(entries map[string]burdockconfig.Entry) error {
 		fleet, err := burdockmember.Assemble(entitiesUnder(entries, append(fleetPrefixes, burdockentity.SiteKey)...))
 		if err != nil {
 			return err
--- a/internal/tool/burdockcli/profile.go
+++ b/internal/tool/burdockcli/profile.go
@@ -17,7 +17,7 @@
 )
 
 func (c *CLI) profile() *ffcli.Command {
-	return c.group("profile", "check, apply and list profiles", burdockcheck.ProfileCommand(c.stdout), c.profileApply(), c.profileList())
+	return c.groupCommand("profile", "check, apply and list profiles", burdockcheck.ProfileCommand(c.stdout), c.profileApply(), c.profileList())
 }
 
 func (c *CLI) profileApply() *ffcli.Command {
@@ -65,11 +65,11 @@
 			return err
 		}
 	}
-	return c.apply(ctx, store, entries, edits(entries, wanted))
+	return c.apply(ctx, store, entries, diffEdits(entries, wanted))
 }
 
 func (c *CLI) profileList() *ffcli.Command {
-	return c.listing("profile list", "list the profiles in the store with their versions", func(entries map[string]burdockconfig.Entry) error {
+	return c.listCommand("profile list", "list the profiles in the store with their versions", func(entries map[string]burdockconfig.Entry) error {
 		profiles, err := burdockprofile.Assemble(entitiesUnder(entries, burdockentity.ProfilePrefix))
 		if err != nil {
 			return err
--- a/internal/tool/burdockcli/root.go
+++ b/internal/tool/burdockcli/root.go
@@ -1,4 +1,4 @@
-// Package burdockcli is the operators' command line.
+// Package burdockcli implements the operators' command line, burdock.
 package burdockcli
 
 import (
@@ -22,7 +22,7 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-// CLI is the command line with its ways in and out.
+// CLI is the command line with its output streams.
 type CLI struct {
 	stdout io.Writer
 	stderr io.Writer
@@ -31,11 +31,11 @@
 // New returns the command line.
 func New(stdout, stderr io.Writer) *CLI { return &CLI{stdout: stdout, stderr: stderr} }
 
-// Run carries one command out and returns the exit status.
+// Run executes one command and returns the exit status.
 func (c *CLI) Run(ctx context.Context, args []string) int {
 	root := c.root()
 	if err := root.Parse(args); err != nil {
-		return c.failedParse(err)
+		return c.parseStatus(err)
 	}
 	err := root.Run(ctx)
 	if err != nil && !errors.Is(err, flag.ErrHelp) {
@@ -44,16 +44,16 @@
 	return status(err)
 }
 
-// failedParse reports what is wrong with the command line. The flag package
-// has already printed it.
-func (c *CLI) failedParse(err error) int {
+// parseStatus returns the exit status for a parse error, which the flag package has
+// already printed.
+func (c *CLI) parseStatus(err error) int {
 	if errors.Is(err, flag.ErrHelp) {
 		return burdockmain.ExitOK
 	}
 	return burdockmain.ExitUsage
 }
 
-// status returns the exit status for the error of a command.
+// status returns the exit status for a command's error.
 func status(err error) int {
 	var usage usageError
 	switch {
@@ -66,7 +66,7 @@
 	}
 }
 
-// usageError says that arguments or a file are wrong, and nothing was done.
+// usageError reports invalid arguments or an invalid file; nothing was changed.
 type usageError struct{ err error }
 
 // Error implements the error interface.
@@ -93,15 +93,15 @@
 }
 
 func (c *CLI) settings() *ffcli.Command {
-	return c.group("settings", "check the settings of a process", burdockcheck.SettingsCommand(c.stdout))
+	return c.groupCommand("settings", "check the settings of a process", burdockcheck.SettingsCommand(c.stdout))
 }
 
 func (c *CLI) customer() *ffcli.Command {
-	return c.group("customer", "make customers' keys", burdockcheck.KeyCommand(c.stdout))
+	return c.groupCommand("customer", "make customers' keys", burdockcheck.KeyCommand(c.stdout))
 }
 
 func (c *CLI) measure() *ffcli.Command {
-	return c.group("measure", "measure the path, and the decisions against baselines",
+	return c.groupCommand("measure", "measure the path, and the decisions against baselines",
 		burdockpathlab.Command(c.stdout),
 		burdockpassthrough.Command(c.stdout),
 		burdockqueuelab.Command(c.stdout),
@@ -111,18 +111,18 @@
 		burdockcapacitylab.Command(c.stdout))
 }
 
-// flags returns an empty flag set that reports to the command line's errors.
+// flags returns an empty flag set that writes its errors to stderr.
 func (c *CLI) flags(name string) *flag.FlagSet {
 	flags := flag.NewFlagSet(name, flag.ContinueOnError)
 	flags.SetOutput(c.stderr)
 	return flags
 }
 
-// options lets flags be given by environment variables such as BURDOCK_STORE.
+// options lets environment variables such as BURDOCK_STORE set flags.
 func options() []ff.Option { return []ff.Option{ff.WithEnvVarPrefix("BURDOCK")} }
 
-// group returns a command that only holds others.
-func (c *CLI) group(name, help string, subcommands ...*ffcli.Command) *ffcli.Command {
+// groupCommand returns a command that only has subcommands.
+func (c *CLI) groupCommand(name, help string, subcommands ...*ffcli.Command) *ffcli.Command {
 	return &ffcli.Command{
 		Name:        name,
 		ShortUsage:  "burdock " + name + " COMMAND",
--- a/internal/tool/burdockcli/state.go
+++ b/internal/tool/burdockcli/state.go
@@ -38,7 +38,7 @@
 	return err
 }
 
-// fetchState returns the dump of the process at address.
+// fetchState returns the state dump of the process at address.
 func fetchState(ctx context.Context, address string) ([]byte, error) {
 	req, err := sling.New().Base("http://" + address).Get(burdockadmin.PathState).Request()
 	if err != nil {
--- a/internal/tool/burdockcli/store.go
+++ b/internal/tool/burdockcli/store.go
@@ -15,7 +15,7 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-// storeFlag adds the flag that names the store.
+// storeFlag adds the flag for the store's addresses.
 func storeFlag(flags *flag.FlagSet) *string {
 	return flags.String("store", "", "IP:port of the configuration store; several with commas")
 }
@@ -27,7 +27,8 @@
 	return burdockstore.NewHTTP(strings.Split(addresses, ",")), nil
 }
 
-// listEntries returns all readable entries of the store by key.
+// listEntries returns all entries of the store by key, and an error if one can't be
+// decoded.
 func listEntries(ctx context.Context, store burdockstore.Store) (map[string]burdockconfig.Entry, error) {
 	stored, _, err := store.List(ctx, burdockconfig.StorePrefix)
 	if err != nil {
@@ -44,8 +45,8 @@
 	return entries, nil
 }
 
-// listing is a command that shows what the store holds.
-func (c *CLI) listing(name, help string, show func(map[string]burdockconfig.Entry) error) *ffcli.Command {
+// listCommand returns a command that prints entries of the store with show.
+func (c *CLI) listCommand(name, help string, show func(map[string]burdockconfig.Entry) error) *ffcli.Command {
 	flags := c.flags("burdock " + name)
 	storeAddress := storeFlag(flags)
 	return &ffcli.Command{
@@ -68,8 +69,7 @@
 	}
 }
 
-// entitiesUnder returns the entities below one of the prefixes that are not
-// deleted.
+// entitiesUnder returns the entities under the prefixes, without deleted ones.
 func entitiesUnder(entries map[string]burdockconfig.Entry, prefixes ...string) []burdockentity.Entity {
 	var entities []burdockentity.Entity
 	for key, e := range entries {
@@ -89,30 +89,31 @@
 	return false
 }
 
-// edits compares what is wanted with what is there. With prune, entities
-// under the prefixes that are not wanted are deleted.
+// diffEdits returns the edits that turn entries into the wanted entities. Entities
+// under the prune prefixes that are not wanted are deleted.
 //
-// Each edit carries the version that it was compared with, so that an edit of
-// another operator in between is not overwritten unseen.
-func edits(entries map[string]burdockconfig.Entry, wanted []burdockentity.Entity, prune ...string) []burdocksync.Edit {
-	var list []burdocksync.Edit
+// Each edit carries the version that it was compared with as its base. Otherwise it
+// could overwrite a concurrent edit of another operator.
+func diffEdits(entries map[string]burdockconfig.Entry, wanted []burdockentity.Entity, prune ...string) []burdocksync.Edit {
+	var edits []burdocksync.Edit
 	keep := map[string]bool{}
 	for _, entity := range wanted {
 		keep[entity.Key] = true
 		e, known := entries[entity.Key]
 		if !known || e.Deleted || !bytes.Equal(e.Value, entity.Value) {
-			list = append(list, burdocksync.Edit{Key: entity.Key, Value: entity.Value, Base: e.Version})
+			edits = append(edits, burdocksync.Edit{Key: entity.Key, Value: entity.Value, Base: e.Version})
 		}
 	}
 	for _, entity := range entitiesUnder(entries, prune...) {
 		if !keep[entity.Key] {
-			list = append(list, burdocksync.Edit{Key: entity.Key, Deleted: true, Base: entries[entity.Key].Version})
+			edits = append(edits, burdocksync.Edit{Key: entity.Key, Deleted: true, Base: entries[entity.Key].Version})
 		}
 	}
-	return list
+	return edits
 }
 
-// checkBase refuses an apply that was made on another version.
+// checkBase refuses an apply whose file was edited from another version than the
+// current one.
 func (c *CLI) checkBase(current burdockconfig.Entry, wanted burdockentity.Entity, base burdockid.Version) error {
 	if current.Version != base {
 		c.printDifferences("in the store", current, "in the file", burdockconfig.Entry{Value: wanted.Value})
