--- a/internal/tool/burdockmain/main.go
+++ b/internal/tool/burdockmain/main.go
@@ -1,5 +1,5 @@
-// Package burdockmain runs the daemons: it reads their settings, starts them,
-// and stops them as planned on SIGTERM or SIGINT.
+// Package burdockmain runs the daemons: it reads their settings, starts them, and
+// shuts them down gracefully on SIGTERM or SIGINT.
 package burdockmain
 
 import (
@@ -23,29 +23,29 @@
 const (
 	ExitOK      = burdockcheck.StatusOK
 	ExitFailure = burdockcheck.StatusFailed
-	// ExitUsage says that arguments, settings or input were wrong and nothing
-	// was done.
+	// ExitUsage reports invalid arguments, settings or input; nothing was done.
 	ExitUsage = burdockcheck.StatusFindings
 )
 
 const envPrefix = "BURDOCK"
 
-// Entry runs an entry until it is told to stop.
+// Entry runs an entry until SIGTERM or SIGINT and returns the exit status.
 func Entry(args []string, stderr io.Writer) int {
 	return run("burdock-entry", args, stderr, burdockbend.WithEntry)
 }
 
-// Agent runs an agent until it is told to stop.
+// Agent runs an agent until SIGTERM or SIGINT and returns the exit status.
 func Agent(args []string, stderr io.Writer) int {
 	return run("burdock-agent", args, stderr, burdockbend.WithAgent)
 }
 
-// withSettings is the option that takes the settings of one role.
-type withSettings func(file string, data []byte) burdockbend.Option
+// roleOption returns the option that starts one role with the settings in data. Findings
+// name the file.
+type roleOption func(file string, data []byte) burdockbend.Option
 
-func run(name string, args []string, stderr io.Writer, role withSettings) int {
-	// First of all, so that a stop that comes while the process starts is a
-	// planned one too.
+func run(name string, args []string, stderr io.Writer, role roleOption) int {
+	// Signals are caught before anything else. Otherwise a signal during the start
+	// would kill the process instead of shutting it down gracefully.
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	flags := flag.NewFlagSet(name, flag.ContinueOnError)
@@ -78,7 +78,7 @@
 	return ExitOK
 }
 
-// NewLog returns a log of JSON lines at the level that the settings name.
+// NewLog returns a logger that writes JSON lines to w at the given level.
 func NewLog(w zapcore.WriteSyncer, level string) *zap.Logger {
 	return zap.New(zapcore.NewCore(burdocklog.Encoder(), w, burdocklog.Level(level)))
 }
