--- a/internal/wire/burdockwire/generate.go
+++ b/internal/wire/burdockwire/generate.go
@@ -1,6 +1,6 @@
-// Package burdockwire holds the messages and the connect services between the
-// system's own processes. All but this file and its tests is generated from
-// burdockwire.proto by tools/generate; the result is committed.
+// Package burdockwire contains the messages and Connect services that the system's
+// processes use among themselves. Its *.pb.go and *.connect.go files are generated
+// from burdockwire.proto by tools/generate and committed.
 package burdockwire
 
 //go:generate sh -c "cd ../../../tools && go run ./generate"
