--- a/internal/decide/burdocksuspect/suspect.go
+++ b/internal/decide/burdockcrash/crash.go
@@ -1,8 +1,8 @@
-// Package burdocksuspect finds requests that crash every upstream that runs them, by
+// Package burdockcrash finds requests that crash every upstream that runs them, by
 // recording which requests were running at upstreams that crashed.
 //
 // The package is pure: time is passed in. A Tracker is not safe for concurrent use.
-package burdocksuspect
+package burdockcrash
 
 import (
 	"cmp"
--- a/internal/decide/burdocksuspect/suspect_test.go
+++ b/internal/decide/burdockcrash/crash_test.go
@@ -1,4 +1,4 @@
-package burdocksuspect
+package burdockcrash
 
 import (
 	"fmt"
--- a/internal/decide/burdockpace/pace.go
+++ b/internal/decide/burdocklimit/limit.go
@@ -1,10 +1,10 @@
-// Package burdockpace limits how many streams the engines of a service run. It uses
+// Package burdocklimit limits how many streams the engines of a service run. It uses
 // the performance figures that operators publish for an engine, and the event gaps
 // that an entry measures: the times between two events of a stream.
 //
 // The package does no I/O: time is passed in. A Limit is not safe for concurrent
 // use.
-package burdockpace
+package burdocklimit
 
 import (
 	"maps"
--- a/internal/decide/burdockpace/pace_test.go
+++ b/internal/decide/burdocklimit/limit_test.go
@@ -1,4 +1,4 @@
-package burdockpace
+package burdocklimit
 
 import (
 	"fmt"
--- a/internal/decide/burdockdoubt/doubt.go
+++ b/internal/decide/burdocksuspicion/suspicion.go
@@ -1,8 +1,8 @@
-// Package burdockdoubt tracks which upstreams have recently failed a request, at this
-// entry or at another. Requests that may run only once avoid these suspected upstreams.
+// Package burdocksuspicion tracks which upstreams have recently failed a request, at
+// this entry or at another. Requests that may run only once avoid these suspected upstreams.
 //
 // The package is pure: time is passed in. A Tracker is not safe for concurrent use.
-package burdockdoubt
+package burdocksuspicion
 
 import (
 	"cmp"
--- a/internal/decide/burdockdoubt/doubt_test.go
+++ b/internal/decide/burdocksuspicion/suspicion_test.go
@@ -1,4 +1,4 @@
-package burdockdoubt
+package burdocksuspicion
 
 import (
 	"fmt"
--- a/internal/measure/burdockcapacitylab/fleet.go
+++ b/internal/measure/burdockcapacitylab/fleet.go
@@ -9,7 +9,7 @@
 	"burdockbend.example/burdockbend/internal/decide/burdockledger"
 	"burdockbend.example/burdockbend/internal/state/burdockconfig"
 	"burdockbend.example/burdockbend/internal/state/burdockfleet"
-	"burdockbend.example/burdockbend/internal/state/burdockhome"
+	"burdockbend.example/burdockbend/internal/state/burdockowner"
 )
 
 // Size is how many things of each kind a configuration has.
@@ -113,12 +113,12 @@
 	}
 	var entries []burdockconfig.Entry
 	for slot := range burdockledger.Slot(burdockledger.SlotCount) {
-		owner := burdockhome.Owner{Upstream: burdockhome.Order(service, slot, members)[0], Incarnation: burdockid.NewIncarnation()}
-		value, err := burdockhome.Encode(owner)
+		owner := burdockowner.Owner{Upstream: burdockowner.Order(service, slot, members)[0], Incarnation: burdockid.NewIncarnation()}
+		value, err := burdockowner.Encode(owner)
 		if err != nil {
 			return nil, err
 		}
-		entries = append(entries, entry(burdockhome.Key(service, slot), 1, value))
+		entries = append(entries, entry(burdockowner.Key(service, slot), 1, value))
 	}
 	return entries, nil
 }
--- a/internal/measure/burdockcapacitylab/serve.go
+++ b/internal/measure/burdockcapacitylab/serve.go
@@ -12,7 +12,7 @@
 	"burdockbend.example/burdockbend/internal/decide/burdockledger"
 	"burdockbend.example/burdockbend/internal/decide/burdockplace"
 	"burdockbend.example/burdockbend/internal/decide/burdockretry"
-	"burdockbend.example/burdockbend/internal/state/burdockhome"
+	"burdockbend.example/burdockbend/internal/state/burdockowner"
 )
 
 // PoolCost is what an entry spends on the upstreams of one service.
@@ -158,17 +158,17 @@
 	for i := range members {
 		members[i] = upstreamName(i)
 	}
-	settled := burdockhome.Owners{}
+	settled := burdockowner.Owners{}
 	for slot := range burdockledger.Slot(burdockledger.SlotCount) {
-		settled[slot] = burdockhome.VersionedOwner{Owner: burdockhome.Owner{Upstream: members[1+int(slot)%(n-1)], Incarnation: "1"}, Version: 1}
+		settled[slot] = burdockowner.VersionedOwner{Owner: burdockowner.Owner{Upstream: members[1+int(slot)%(n-1)], Incarnation: "1"}, Version: 1}
 	}
-	c := burdockhome.NewClaimer(burdockhome.Self{Service: service, Upstream: members[0], Incarnation: "1"})
+	c := burdockowner.NewClaimer(burdockowner.Self{Service: service, Upstream: members[0], Incarnation: "1"})
 	// At time 0 the claimer claims only slots that prefer this agent, so each round
 	// checks all slots.
 	return OwnersCost{
 		Members: n,
 		Settled: processorTime(func() { c.Claims(0, 0, settled, members) }),
-		Unowned: processorTime(func() { c.Claims(0, 0, burdockhome.Owners{}, members) }),
-		Rank:    processorTime(func() { burdockhome.Rank(service, 7, members, members[0]) }),
+		Unowned: processorTime(func() { c.Claims(0, 0, burdockowner.Owners{}, members) }),
+		Rank:    processorTime(func() { burdockowner.Rank(service, 7, members, members[0]) }),
 	}
 }
--- a/internal/proof/burdockconfigproof/spread_test.go
+++ b/internal/proof/burdockconfigproof/spread_test.go
@@ -12,7 +12,7 @@
 	"burdockbend.example/burdockbend/internal/proof/burdockprograms"
 	"burdockbend.example/burdockbend/internal/standin/burdockfakestore"
 	"burdockbend.example/burdockbend/internal/standin/burdockfault"
-	"burdockbend.example/burdockbend/internal/state/burdockhome"
+	"burdockbend.example/burdockbend/internal/state/burdockowner"
 )
 
 // postCommand sends a control command to the stand-in store.
@@ -38,7 +38,7 @@
 func waitSettled(t *testing.T, f *burdockprograms.Fleet) {
 	t.Helper()
 	for slot := range burdockledger.Slot(burdockledger.SlotCount) {
-		key := fmt.Sprintf("%s%s/%d", burdockhome.Prefix, burdockprograms.ModelService, slot)
+		key := fmt.Sprintf("%s%s/%d", burdockowner.Prefix, burdockprograms.ModelService, slot)
 		burdockprograms.Eventually(t, key+" is claimed", func() bool {
 			_, ok := heldAt(f.Entries[0].Admin, key)
 			return ok
--- a/internal/proof/burdockdoor/caller_test.go
+++ b/internal/proof/burdocklistener/caller_test.go
@@ -1,4 +1,4 @@
-package burdockdoor
+package burdocklistener
 
 import (
 	"bufio"
--- a/internal/proof/burdockdoor/fleet_test.go
+++ b/internal/proof/burdocklistener/fleet_test.go
@@ -1,6 +1,6 @@
-// Package burdockdoor tests that each listener of an entry and an agent rejects
+// Package burdocklistener tests that each listener of an entry and an agent rejects
 // invalid input without leaking goroutines or file descriptors.
-package burdockdoor
+package burdocklistener
 
 import (
 	"context"
--- a/internal/serve/burdockagent/handover.go
+++ b/internal/serve/burdockagent/handover.go
@@ -8,7 +8,7 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 	"burdockbend.example/burdockbend/internal/config/burdockmember"
 	"burdockbend.example/burdockbend/internal/decide/burdockledger"
-	"burdockbend.example/burdockbend/internal/state/burdockhome"
+	"burdockbend.example/burdockbend/internal/state/burdockowner"
 	"burdockbend.example/burdockbend/internal/wire/burdocktransport"
 	"burdockbend.example/burdockbend/internal/wire/burdockwire"
 	"connectrpc.com/connect"
@@ -46,7 +46,7 @@
 		m.agent.abortHandover(slot)
 		return
 	}
-	m.writeHandover(ctx, service, slot, ownerWrite{base: base, owner: burdockhome.Owner{
+	m.writeHandover(ctx, service, slot, ownerWrite{base: base, owner: burdockowner.Owner{
 		Upstream:      next,
 		Incarnation:   inc,
 		CompleteSince: burdockclock.Millis(offer.GetSinceMillis()),
--- a/internal/serve/burdockagent/handover_test.go
+++ b/internal/serve/burdockagent/handover_test.go
@@ -6,7 +6,7 @@
 
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 	"burdockbend.example/burdockbend/internal/decide/burdockledger"
-	"burdockbend.example/burdockbend/internal/state/burdockhome"
+	"burdockbend.example/burdockbend/internal/state/burdockowner"
 	"burdockbend.example/burdockbend/internal/wire/burdockwire"
 	"connectrpc.com/connect"
 )
@@ -43,8 +43,8 @@
 func (e *testEnv) setOwner(version burdockid.Version, from burdockid.Incarnation) {
 	e.agent.mu.Lock()
 	defer e.agent.mu.Unlock()
-	owner := burdockhome.Owner{Upstream: "u-1", Incarnation: e.agent.incarnation, HandedOverBy: from}
-	owners := burdockhome.Owners{burdockledger.SlotOf(testKeyRequest().Key): {Owner: owner, Version: version}}
+	owner := burdockowner.Owner{Upstream: "u-1", Incarnation: e.agent.incarnation, HandedOverBy: from}
+	owners := burdockowner.Owners{burdockledger.SlotOf(testKeyRequest().Key): {Owner: owner, Version: version}}
 	e.agent.keys.applyOwners(owners, "u-1", e.agent.incarnation)
 }
 
--- a/internal/serve/burdockagent/history_test.go
+++ b/internal/serve/burdockagent/history_test.go
@@ -13,7 +13,7 @@
 
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 	"burdockbend.example/burdockbend/internal/decide/burdockledger"
-	"burdockbend.example/burdockbend/internal/state/burdockhome"
+	"burdockbend.example/burdockbend/internal/state/burdockowner"
 	"burdockbend.example/burdockbend/internal/wire/burdockwire"
 	"connectrpc.com/connect"
 	"github.com/anishathalye/porcupine"
@@ -306,4 +306,4 @@
 }
 
 // allSlotsOwned reports whether every slot has an owner.
-func allSlotsOwned(owners burdockhome.Owners) bool { return len(owners) == burdockledger.SlotCount }
+func allSlotsOwned(owners burdockowner.Owners) bool { return len(owners) == burdockledger.SlotCount }
--- a/internal/serve/burdockagent/keys.go
+++ b/internal/serve/burdockagent/keys.go
@@ -6,7 +6,7 @@
 	"burdockbend.example/burdockbend/internal/base/burdockclock"
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 	"burdockbend.example/burdockbend/internal/decide/burdockledger"
-	"burdockbend.example/burdockbend/internal/state/burdockhome"
+	"burdockbend.example/burdockbend/internal/state/burdockowner"
 	"burdockbend.example/burdockbend/internal/wire/burdockwire"
 	"connectrpc.com/connect"
 	"github.com/cespare/xxhash/v2"
@@ -28,7 +28,7 @@
 // a slot have the same owner. The agent's lock guards it.
 type keySlots struct {
 	ledger *burdockledger.Ledger
-	owners burdockhome.Owners
+	owners burdockowner.Owners
 	// ownerVersion contains, for each slot that the agent owns, the version of the
 	// configuration entry that made it the owner.
 	ownerVersion map[burdockledger.Slot]burdockid.Version
@@ -43,7 +43,7 @@
 func newKeySlots() *keySlots {
 	return &keySlots{
 		ledger:       burdockledger.New(),
-		owners:       burdockhome.Owners{},
+		owners:       burdockowner.Owners{},
 		ownerVersion: map[burdockledger.Slot]burdockid.Version{},
 		offers:       map[burdockledger.Slot]slotOffers{},
 		handingOver:  map[burdockledger.Slot]bool{},
@@ -57,7 +57,7 @@
 // see only the last of the two changes. If it then continued with its old records, it
 // would run a key again that the other owner ran. A slot whose version has changed is
 // therefore acquired again.
-func (k *keySlots) applyOwners(owners burdockhome.Owners, self burdockid.Upstream, inc burdockid.Incarnation) {
+func (k *keySlots) applyOwners(owners burdockowner.Owners, self burdockid.Upstream, inc burdockid.Incarnation) {
 	k.owners = owners
 	for slot := range burdockledger.Slot(burdockledger.SlotCount) {
 		owner, known := owners[slot]
@@ -79,7 +79,7 @@
 
 // acquire makes the agent the owner of a slot, and imports the records that the previous
 // owner handed over, if any. Records of the slot that the ledger already has stay.
-func (k *keySlots) acquire(slot burdockledger.Slot, owner burdockhome.VersionedOwner) {
+func (k *keySlots) acquire(slot burdockledger.Slot, owner burdockowner.VersionedOwner) {
 	offer := k.offers[slot][owner.HandedOverBy]
 	delete(k.offers, slot)
 	delete(k.handingOver, slot)
--- a/internal/serve/burdockagent/keyslotmanager.go
+++ b/internal/serve/burdockagent/keyslotmanager.go
@@ -11,7 +11,7 @@
 	"burdockbend.example/burdockbend/internal/config/burdockmember"
 	"burdockbend.example/burdockbend/internal/decide/burdockledger"
 	"burdockbend.example/burdockbend/internal/state/burdockconfig"
-	"burdockbend.example/burdockbend/internal/state/burdockhome"
+	"burdockbend.example/burdockbend/internal/state/burdockowner"
 	"burdockbend.example/burdockbend/internal/state/burdocksync"
 	"burdockbend.example/burdockbend/internal/wire/burdocktransport"
 	"github.com/joomcode/errorx"
@@ -38,7 +38,7 @@
 	writer  *burdocksync.Writer
 	view    *burdockconfig.View
 	peers   *burdocktransport.Peers
-	claimer *burdockhome.Claimer
+	claimer *burdockowner.Claimer
 	// roundsWithoutProgress counts the consecutive rounds of a draining agent in which
 	// no slot was handed over.
 	roundsWithoutProgress atomic.Int32
@@ -56,7 +56,7 @@
 // ownerWrite is a write of a slot's owner over a base version.
 type ownerWrite struct {
 	base  burdockid.Version
-	owner burdockhome.Owner
+	owner burdockowner.Owner
 }
 
 // writeResult is the result of writing a slot's owner.
@@ -152,7 +152,7 @@
 func (m *KeySlotManager) claimSlots(ctx context.Context, service burdockid.Service) {
 	a := m.agent
 	if m.claimer == nil {
-		m.claimer = burdockhome.NewClaimer(burdockhome.Self{Service: service, Upstream: a.cfg.Upstream, Incarnation: a.incarnation})
+		m.claimer = burdockowner.NewClaimer(burdockowner.Self{Service: service, Upstream: a.cfg.Upstream, Incarnation: a.incarnation})
 	}
 	fleet := a.deps.Fleet.Now()
 	if fleet.Upstreams[a.cfg.Upstream].VM != a.cfg.VM {
@@ -179,13 +179,13 @@
 // write writes a slot's owner to the store and merges the stored entry into the local
 // configuration.
 func (m *KeySlotManager) write(ctx context.Context, service burdockid.Service, slot burdockledger.Slot, w ownerWrite) writeResult {
-	value, err := burdockhome.Encode(w.owner)
+	value, err := burdockowner.Encode(w.owner)
 	if err != nil {
 		panic(err) // strings and numbers can always be encoded
 	}
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	e, err := m.writer.Write(ctx, burdocksync.Edit{Key: burdockhome.Key(service, slot), Value: value, Base: w.base})
+	e, err := m.writer.Write(ctx, burdocksync.Edit{Key: burdockowner.Key(service, slot), Value: value, Base: w.base})
 	switch {
 	case err == nil:
 		m.view.Merge([]burdockconfig.Entry{e})
@@ -203,14 +203,14 @@
 // be offered to that upstream now.
 func (m *KeySlotManager) prefersOther(service burdockid.Service, slot burdockledger.Slot) bool {
 	members := upstreamNames(m.agent.deps.Fleet.Now().Members[service])
-	first := burdockhome.Order(service, slot, members)[0]
+	first := burdockowner.Order(service, slot, members)[0]
 	return first != m.agent.cfg.Upstream && !m.avoids(first)
 }
 
 // preferredMembers returns the members of the service in a slot's order of preference.
 func (m *KeySlotManager) preferredMembers(service burdockid.Service, slot burdockledger.Slot) []burdockmember.Upstream {
 	fleet := m.agent.deps.Fleet.Now()
-	order := burdockhome.Order(service, slot, upstreamNames(fleet.Members[service]))
+	order := burdockowner.Order(service, slot, upstreamNames(fleet.Members[service]))
 	members := make([]burdockmember.Upstream, len(order))
 	for i, name := range order {
 		members[i] = fleet.Upstreams[name]
--- a/internal/serve/burdockdirect/crashes.go
+++ b/internal/serve/burdockdirect/crashes.go
@@ -10,7 +10,7 @@
 
 	"burdockbend.example/burdockbend/internal/base/burdockclock"
 	"burdockbend.example/burdockbend/internal/base/burdockid"
-	"burdockbend.example/burdockbend/internal/decide/burdocksuspect"
+	"burdockbend.example/burdockbend/internal/decide/burdockcrash"
 	"burdockbend.example/burdockbend/internal/state/burdocksite"
 	"go.uber.org/zap"
 )
@@ -37,10 +37,10 @@
 	clock   burdockclock.Clock
 	site    *burdocksite.Site
 	log     *zap.Logger
-	publish func([]burdocksuspect.Crash) // notifies the other entries; may be nil
+	publish func([]burdockcrash.Crash) // notifies the other entries; may be nil
 
 	mu           sync.Mutex
-	tracker      *burdocksuspect.Tracker
+	tracker      *burdockcrash.Tracker
 	examinations map[burdockid.Upstream]*examination
 	// crashedAt holds when upstreams crashed recently.
 	crashedAt map[burdockid.Upstream]burdockclock.Millis
@@ -49,14 +49,14 @@
 func newCrashDetector(deps Deps, ttl burdockclock.Millis) *crashDetector {
 	return &crashDetector{
 		clock: deps.Clock, site: deps.Site, log: deps.Log, publish: deps.PublishCrashes,
-		tracker:      burdocksuspect.New(burdocksuspect.Config{TTL: ttl}),
+		tracker:      burdockcrash.New(burdockcrash.Config{TTL: ttl}),
 		examinations: map[burdockid.Upstream]*examination{}, crashedAt: map[burdockid.Upstream]burdockclock.Millis{},
 	}
 }
 
 // digest identifies a request by its content, whatever its ID.
-func (req *request) digest() burdocksuspect.Digest {
-	return burdocksuspect.DigestOf(req.method, req.target, req.customer, req.body)
+func (req *request) digest() burdockcrash.Digest {
+	return burdockcrash.DigestOf(req.method, req.target, req.customer, req.body)
 }
 
 // quarantined returns how much longer a request is kept from upstreams; 0 if it
@@ -71,14 +71,14 @@
 }
 
 // crashingRequests returns the requests that ran at upstreams that crashed.
-func (c *crashDetector) crashingRequests() []burdocksuspect.CrashingRequest {
+func (c *crashDetector) crashingRequests() []burdockcrash.CrashingRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.tracker.CrashingRequests(c.clock.Now())
 }
 
 // addAll adds the crashes that other entries reported.
-func (c *crashDetector) addAll(all []burdocksuspect.Crash) {
+func (c *crashDetector) addAll(all []burdockcrash.Crash) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.clock.Now()
@@ -88,7 +88,7 @@
 }
 
 // add records a crash and reports whether it was new. The lock must be held.
-func (c *crashDetector) add(now burdockclock.Millis, crash burdocksuspect.Crash) bool {
+func (c *crashDetector) add(now burdockclock.Millis, crash burdockcrash.Crash) bool {
 	if !c.tracker.Add(now, crash) {
 		return false
 	}
@@ -105,12 +105,12 @@
 	crashes   *crashDetector
 	upstream  burdocksite.Upstream
 	startedAt burdockclock.Millis
-	requests  []burdocksuspect.Digest
+	requests  []burdockcrash.Digest
 	crashed   bool
 }
 
 // connectionBroke records that the connection to an upstream broke while it ran a request.
-func (c *crashDetector) connectionBroke(u burdocksite.Upstream, d burdocksuspect.Digest) {
+func (c *crashDetector) connectionBroke(u burdocksite.Upstream, d burdockcrash.Digest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	x := c.examinations[u.ID]
@@ -176,9 +176,9 @@
 	if c.isMassCrash(x.upstream.Service, x.startedAt) {
 		return
 	}
-	var added []burdocksuspect.Crash
+	var added []burdockcrash.Crash
 	for _, d := range requests {
-		crash := burdocksuspect.Crash{Request: d, Upstream: x.upstream.ID, At: x.startedAt}
+		crash := burdockcrash.Crash{Request: d, Upstream: x.upstream.ID, At: x.startedAt}
 		if c.add(c.clock.Now(), crash) {
 			added = append(added, crash)
 		}
@@ -212,9 +212,9 @@
 }
 
 // AddCrashes adds the crashes that other entries reported.
-func (e *Entry) AddCrashes(all []burdocksuspect.Crash) { e.crashes.addAll(all) }
+func (e *Entry) AddCrashes(all []burdockcrash.Crash) { e.crashes.addAll(all) }
 
 // CrashingRequests returns the requests that ran at upstreams that crashed, for operators.
-func (e *Entry) CrashingRequests() []burdocksuspect.CrashingRequest {
+func (e *Entry) CrashingRequests() []burdockcrash.CrashingRequest {
 	return e.crashes.crashingRequests()
 }
--- a/internal/serve/burdockdirect/crashes_test.go
+++ b/internal/serve/burdockdirect/crashes_test.go
@@ -9,17 +9,17 @@
 	"testing"
 	"time"
 
-	"burdockbend.example/burdockbend/internal/decide/burdocksuspect"
+	"burdockbend.example/burdockbend/internal/decide/burdockcrash"
 )
 
 // crashBus passes the crashes that one entry publishes to all entries.
 type crashBus struct {
 	mu        sync.Mutex
 	entries   []*Entry
-	published []burdocksuspect.Crash
+	published []burdockcrash.Crash
 }
 
-func (b *crashBus) publish(all []burdocksuspect.Crash) {
+func (b *crashBus) publish(all []burdockcrash.Crash) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.published = append(b.published, all...)
--- a/internal/serve/burdockdirect/entry.go
+++ b/internal/serve/burdockdirect/entry.go
@@ -16,8 +16,8 @@
 
 	"burdockbend.example/burdockbend/internal/base/burdockclock"
 	"burdockbend.example/burdockbend/internal/base/burdockid"
+	"burdockbend.example/burdockbend/internal/decide/burdockcrash"
 	"burdockbend.example/burdockbend/internal/decide/burdockspeed"
-	"burdockbend.example/burdockbend/internal/decide/burdocksuspect"
 	"burdockbend.example/burdockbend/internal/state/burdocksite"
 	"burdockbend.example/burdockbend/internal/wire/burdocktransport"
 	"github.com/VictoriaMetrics/metrics"
@@ -44,7 +44,7 @@
 	Seed    uint64
 	// PublishCrashes notifies the other entries of crashes. It must not block; nil
 	// notifies nobody.
-	PublishCrashes func([]burdocksuspect.Crash)
+	PublishCrashes func([]burdockcrash.Crash)
 	// PublishSuspected notifies the other entries that an upstream has failed a request.
 	// It must not block; nil notifies nobody.
 	PublishSuspected func(burdockid.Upstream)
--- a/internal/serve/burdockdirect/gate.go
+++ b/internal/serve/burdockdirect/gate.go
@@ -6,7 +6,7 @@
 
 	"burdockbend.example/burdockbend/internal/base/burdockclock"
 	"burdockbend.example/burdockbend/internal/base/burdockid"
-	"burdockbend.example/burdockbend/internal/decide/burdockpace"
+	"burdockbend.example/burdockbend/internal/decide/burdocklimit"
 	"burdockbend.example/burdockbend/internal/decide/burdockqueue"
 	"burdockbend.example/burdockbend/internal/state/burdocksite"
 	"go.uber.org/zap"
@@ -50,15 +50,15 @@
 
 // gate controls the admission of requests to one service at this entry: it starts them,
 // queues them, or refuses them at once. The decisions are made by burdockqueue and
-// burdockpace; the gate adds the lock and the clock.
+// burdocklimit; the gate adds the lock and the clock.
 type gate struct {
 	clock burdockclock.Clock
 	log   *zap.Logger
 
 	mu          sync.Mutex
 	queue       *burdockqueue.Queue
-	limit       *burdockpace.Limit  // nil for a plain service
-	limitEngine burdockpace.Engine  // that limit was created for
+	limit       *burdocklimit.Limit // nil for a plain service
+	limitEngine burdocklimit.Engine // that limit was created for
 	maxEventGap burdockclock.Millis // that limit was created for
 	group       *group              // nil unless the engines run in lock-step
 	slots       int
@@ -96,11 +96,11 @@
 	engine, ok := paceEngine(cfg)
 	switch {
 	case !ok:
-		g.limit, g.limitEngine, g.maxEventGap, g.group = nil, burdockpace.Engine{}, 0, nil
+		g.limit, g.limitEngine, g.maxEventGap, g.group = nil, burdocklimit.Engine{}, 0, nil
 		g.slots = totalSlots(cfg.members)
 	case g.limit == nil || engine != g.limitEngine || cfg.maxEventGap != g.maxEventGap:
 		g.limitEngine, g.maxEventGap = engine, cfg.maxEventGap
-		g.limit = burdockpace.New(burdockpace.Config{}, engine, len(cfg.members), cfg.maxEventGap)
+		g.limit = burdocklimit.New(burdocklimit.Config{}, engine, len(cfg.members), cfg.maxEventGap)
 		g.group = nil
 		if cfg.engine.Layers > 0 {
 			g.group = newGroup(cfg.maxEventGap)
@@ -113,12 +113,12 @@
 
 // paceEngine returns the figures of a service's engines; false if it has no engines or no
 // streams.
-func paceEngine(cfg gateConfig) (burdockpace.Engine, bool) {
+func paceEngine(cfg gateConfig) (burdocklimit.Engine, bool) {
 	e := cfg.engine
 	if e == nil || cfg.maxEventGap <= 0 {
-		return burdockpace.Engine{}, false
+		return burdocklimit.Engine{}, false
 	}
-	return burdockpace.Engine{
+	return burdocklimit.Engine{
 		Slots: e.Slots, StepsPerEvent: e.StepsPerEvent, BaseStepMillis: e.BaseStepMillis,
 		StepMillisPerRequest: stepMillisPerRequest(e),
 	}, true
--- a/internal/serve/burdockdirect/pool.go
+++ b/internal/serve/burdockdirect/pool.go
@@ -7,11 +7,11 @@
 
 	"burdockbend.example/burdockbend/internal/base/burdockclock"
 	"burdockbend.example/burdockbend/internal/base/burdockid"
-	"burdockbend.example/burdockbend/internal/decide/burdockdoubt"
 	"burdockbend.example/burdockbend/internal/decide/burdockeject"
 	"burdockbend.example/burdockbend/internal/decide/burdockplace"
 	"burdockbend.example/burdockbend/internal/decide/burdockretry"
 	"burdockbend.example/burdockbend/internal/decide/burdockspeed"
+	"burdockbend.example/burdockbend/internal/decide/burdocksuspicion"
 	"burdockbend.example/burdockbend/internal/state/burdocksite"
 	"go.uber.org/zap"
 )
@@ -49,7 +49,7 @@
 	weightBySpeed map[burdockid.Upstream]float64
 	migrations    migrations
 	// suspected tracks the upstreams of a plain service that recently failed a request.
-	suspected *burdockdoubt.Tracker
+	suspected *burdocksuspicion.Tracker
 	// typicalDuration is the mean time from an offer to the end of its answer; 0 until
 	// there has been an answer.
 	typicalDuration burdockclock.Millis
@@ -75,7 +75,7 @@
 func newPool(service burdockid.Service, e *Entry) *pool {
 	random := rand.New(rand.NewPCG(e.deps.Seed, uint64(time.Now().UnixNano())))
 	p := &pool{
-		service: service, entry: e, random: random, inFlight: map[burdockid.Upstream]int{}, migrations: migrations{}, suspected: burdockdoubt.New(burdockdoubt.Config{}),
+		service: service, entry: e, random: random, inFlight: map[burdockid.Upstream]int{}, migrations: migrations{}, suspected: burdocksuspicion.New(burdocksuspicion.Config{}),
 		lastContact: map[burdockid.Upstream]contact{}, typicalFirstEvent: initialFirstEvent,
 		placer:  burdockplace.New(burdockplace.Config{}, deriveRand(random)),
 		tracker: burdockeject.New(burdockeject.Config{}, deriveRand(random)),
--- a/internal/serve/burdockhosted/crash.go
+++ b/internal/serve/burdockhosted/crash.go
@@ -6,7 +6,7 @@
 
 	"burdockbend.example/burdockbend/internal/base/burdockclock"
 	"burdockbend.example/burdockbend/internal/base/burdockid"
-	"burdockbend.example/burdockbend/internal/decide/burdocksuspect"
+	"burdockbend.example/burdockbend/internal/decide/burdockcrash"
 	"burdockbend.example/burdockbend/internal/state/burdockkv"
 	"go.uber.org/zap"
 )
@@ -22,7 +22,7 @@
 }
 
 // publishCrashes reports crashes to the other entries.
-func (e *entry) publishCrashes(all []burdocksuspect.Crash) {
+func (e *entry) publishCrashes(all []burdockcrash.Crash) {
 	var puts []burdockkv.Put
 	for _, c := range all {
 		value, err := json.Marshal(crashRecord{AtMillis: c.At})
@@ -37,8 +37,8 @@
 
 // readCrashes returns the crashes in the records. It logs and skips records that cannot
 // be decoded.
-func readCrashes(items []burdockkv.Item, log *zap.Logger) []burdocksuspect.Crash {
-	var all []burdocksuspect.Crash
+func readCrashes(items []burdockkv.Item, log *zap.Logger) []burdockcrash.Crash {
+	var all []burdockcrash.Crash
 	for _, item := range items {
 		crash, err := readCrash(item)
 		if err != nil {
@@ -50,15 +50,15 @@
 	return all
 }
 
-func readCrash(item burdockkv.Item) (burdocksuspect.Crash, error) {
+func readCrash(item burdockkv.Item) (burdockcrash.Crash, error) {
 	name, upstream, _ := strings.Cut(strings.TrimPrefix(item.Key, prefixCrash), "/")
-	digest, err := burdocksuspect.ParseDigest(name)
+	digest, err := burdockcrash.ParseDigest(name)
 	if err != nil {
-		return burdocksuspect.Crash{}, err
+		return burdockcrash.Crash{}, err
 	}
 	var rec crashRecord
 	if err := json.Unmarshal(item.Value, &rec); err != nil {
-		return burdocksuspect.Crash{}, err
+		return burdockcrash.Crash{}, err
 	}
-	return burdocksuspect.Crash{Request: digest, Upstream: burdockid.Upstream(upstream), At: rec.AtMillis}, nil
+	return burdockcrash.Crash{Request: digest, Upstream: burdockid.Upstream(upstream), At: rec.AtMillis}, nil
 }
--- a/internal/serve/burdockhosted/notifications_test.go
+++ b/internal/serve/burdockhosted/notifications_test.go
@@ -8,7 +8,7 @@
 
 	"burdockbend.example/burdockbend/internal/base/burdockclock"
 	"burdockbend.example/burdockbend/internal/base/burdockid"
-	"burdockbend.example/burdockbend/internal/decide/burdocksuspect"
+	"burdockbend.example/burdockbend/internal/decide/burdockcrash"
 	"burdockbend.example/burdockbend/internal/serve/burdockrank"
 	"burdockbend.example/burdockbend/internal/state/burdockkv"
 	"go.uber.org/zap"
@@ -60,14 +60,14 @@
 func TestPublishedCrashIsReadBack(t *testing.T) {
 	store := newFakeKV()
 	e := &entry{log: zap.NewNop(), crashPublisher: newTestPublisher(store)}
-	want := burdocksuspect.Crash{Request: burdocksuspect.DigestOf("POST", "/a", "acme", []byte("x")), Upstream: "u", At: 7}
-	e.publishCrashes([]burdocksuspect.Crash{want})
+	want := burdockcrash.Crash{Request: burdockcrash.DigestOf("POST", "/a", "acme", []byte("x")), Upstream: "u", At: 7}
+	e.publishCrashes([]burdockcrash.Crash{want})
 	e.crashPublisher.writeAll()
 	items, _, _ := store.List(context.Background(), prefixCrash)
 	items = append(items,
 		burdockkv.Item{Key: prefixCrash + "zz/u", Value: []byte(`{"atMillis":1}`)},
 		burdockkv.Item{Key: prefixCrash + want.Request.String() + "/v", Value: []byte("\xff")})
-	if got := readCrashes(items, zap.NewNop()); !slices.Equal(got, []burdocksuspect.Crash{want}) {
+	if got := readCrashes(items, zap.NewNop()); !slices.Equal(got, []burdockcrash.Crash{want}) {
 		t.Errorf("got %v, want %v alone", got, want)
 	}
 }
--- a/internal/serve/burdockhosted/server.go
+++ b/internal/serve/burdockhosted/server.go
@@ -6,7 +6,7 @@
 	"net/http"
 	"time"
 
-	"burdockbend.example/burdockbend/internal/decide/burdocksuspect"
+	"burdockbend.example/burdockbend/internal/decide/burdockcrash"
 	"github.com/VictoriaMetrics/metrics"
 	"github.com/joomcode/errorx"
 	"go.uber.org/zap"
@@ -27,7 +27,7 @@
 
 // adminHandler serves the metrics and, if suspects is not nil, the requests that were
 // running at upstreams when those crashed.
-func adminHandler(set *metrics.Set, suspects func() []burdocksuspect.CrashingRequest) http.Handler {
+func adminHandler(set *metrics.Set, suspects func() []burdockcrash.CrashingRequest) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) { set.WritePrometheus(w) })
 	if suspects == nil {
--- a/internal/state/burdockfleet/fleet.go
+++ b/internal/state/burdockfleet/fleet.go
@@ -15,7 +15,7 @@
 	"burdockbend.example/burdockbend/internal/config/burdockmember"
 	"burdockbend.example/burdockbend/internal/config/burdockprofile"
 	"burdockbend.example/burdockbend/internal/state/burdockconfig"
-	"burdockbend.example/burdockbend/internal/state/burdockhome"
+	"burdockbend.example/burdockbend/internal/state/burdockowner"
 )
 
 // Snapshot is the fleet according to one state of the configuration. It is immutable
@@ -28,7 +28,7 @@
 	Customers map[burdockid.Customer]burdockmember.Customer
 	Entries   map[burdockid.VM]burdockmember.Entry
 	// KeyOwners are the homes of idempotency keys, by service.
-	KeyOwners map[burdockid.Service]burdockhome.Owners
+	KeyOwners map[burdockid.Service]burdockowner.Owners
 	// ByModel maps the name of a model to its service.
 	ByModel map[string]burdockid.Service
 	// ByKeyHash maps the hash of an API key to its customer.
@@ -139,7 +139,7 @@
 		return set(s.Customers, burdockid.Customer(name), e)
 	case burdockentity.EntryPrefix:
 		return set(s.Entries, burdockid.VM(name), e)
-	case burdockhome.Prefix:
+	case burdockowner.Prefix:
 		return s.putKeyOwner(e)
 	default:
 		return nil // not used by the fleet
@@ -149,7 +149,7 @@
 // putKeyOwner applies the owner of one slot. The map of the service is shared with
 // earlier snapshots, so it is copied.
 func (s *Snapshot) putKeyOwner(e burdockconfig.Entry) error {
-	service, slot, owner, err := burdockhome.Parse(e)
+	service, slot, owner, err := burdockowner.Parse(e)
 	if err != nil {
 		return err
 	}
--- a/internal/state/burdockhome/fuzz_test.go
+++ b/internal/state/burdockowner/fuzz_test.go
@@ -1,4 +1,4 @@
-package burdockhome
+package burdockowner
 
 import (
 	"testing"
--- a/internal/state/burdockhome/owner.go
+++ b/internal/state/burdockowner/owner.go
@@ -1,4 +1,4 @@
-// Package burdockhome assigns idempotency keys to agents. The keys of a service are
+// Package burdockowner assigns idempotency keys to agents. The keys of a service are
 // hashed to slots. Each slot has one owner, an agent, and only the owner runs requests
 // with these keys. It is recorded in the configuration, where it is called the key's home.
 //
@@ -6,7 +6,7 @@
 // An owner loses a slot only in three cases: it hands the slot over, a new process of
 // the same upstream takes its place, or operators remove its upstream from the fleet
 // because the VM no longer exists.
-package burdockhome
+package burdockowner
 
 import (
 	"cmp"
--- a/internal/tool/burdockcli/explain.go
+++ b/internal/tool/burdockcli/explain.go
@@ -4,7 +4,7 @@
 	"context"
 	"os"
 
-	"burdockbend.example/burdockbend/internal/tool/burdockstory"
+	"burdockbend.example/burdockbend/internal/tool/burdocktimeline"
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
@@ -26,7 +26,7 @@
 }
 
 func (c *CLI) printTimeline(request string, files []string) error {
-	logs := []burdockstory.Log{{Name: "stdin", Lines: os.Stdin}}
+	logs := []burdocktimeline.Log{{Name: "stdin", Lines: os.Stdin}}
 	if len(files) > 0 {
 		logs = nil
 	}
@@ -36,9 +36,9 @@
 			return usage("%v", err)
 		}
 		defer func() { _ = file.Close() }()
-		logs = append(logs, burdockstory.Log{Name: name, Lines: file})
+		logs = append(logs, burdocktimeline.Log{Name: name, Lines: file})
 	}
-	timeline, err := burdockstory.Read(request, logs)
+	timeline, err := burdocktimeline.Read(request, logs)
 	if err != nil {
 		return err
 	}
--- a/internal/tool/burdockcli/fleet.go
+++ b/internal/tool/burdockcli/fleet.go
@@ -11,7 +11,7 @@
 	"burdockbend.example/burdockbend/internal/config/burdockmember"
 	"burdockbend.example/burdockbend/internal/config/burdockprofile"
 	"burdockbend.example/burdockbend/internal/state/burdockconfig"
-	"burdockbend.example/burdockbend/internal/state/burdockhome"
+	"burdockbend.example/burdockbend/internal/state/burdockowner"
 	"burdockbend.example/burdockbend/internal/state/burdocksync"
 	"burdockbend.example/burdockbend/internal/tool/burdockcheck"
 	"github.com/peterbourgon/ff/v3/ffcli"
@@ -89,10 +89,10 @@
 func checkRemoved(entries map[string]burdockconfig.Entry, edits []burdocksync.Edit, destroyed []string) error {
 	slotsOwned := map[string]int{}
 	for key, e := range entries {
-		if !strings.HasPrefix(key, burdockhome.Prefix) {
+		if !strings.HasPrefix(key, burdockowner.Prefix) {
 			continue
 		}
-		if _, _, owner, err := burdockhome.Parse(e); err == nil {
+		if _, _, owner, err := burdockowner.Parse(e); err == nil {
 			slotsOwned[string(owner.Upstream)]++
 		}
 	}
--- a/internal/tool/burdockstory/timeline.go
+++ b/internal/tool/burdocktimeline/timeline.go
@@ -1,6 +1,6 @@
-// Package burdockstory merges the logs of many processes into the timeline of one
+// Package burdocktimeline merges the logs of many processes into the timeline of one
 // request: its own log lines, and the state changes of the processes around them.
-package burdockstory
+package burdocktimeline
 
 import (
 	"bufio"
--- a/internal/tool/burdockstory/timeline_test.go
+++ b/internal/tool/burdocktimeline/timeline_test.go
@@ -1,4 +1,4 @@
-package burdockstory
+package burdocktimeline
 
 import (
 	"os"
