--- a/internal/serve/burdockagent/handover.go
+++ b/internal/serve/burdockagent/handover.go
@@ -8,7 +8,7 @@
 	"burdockbend.example/burdockbend/internal/base/burdockid"
 	"burdockbend.example/burdockbend/internal/config/burdockmember"
 	"burdockbend.example/burdockbend/internal/decide/burdockledger"
-	"burdockbend.example/burdockbend/internal/state/burdockhome"
+	"burdockbend.example/burdockbend/internal/state/burdockowner"
 	"burdockbend.example/burdockbend/internal/wire/burdocktransport"
 	"burdockbend.example/burdockbend/internal/wire/burdockwire"
 	"connectrpc.com/connect"
@@ -46,11 +46,11 @@
 		m.agent.abortHandover(slot)
 		return
 	}
-	m.writeHandover(ctx, service, slot, ownerWrite{base: base, owner: burdockhome.Home{
-		Upstream:    next,
-		Incarnation: inc,
-		SinceMillis: burdockclock.Millis(offer.GetSinceMillis()),
-		From:        m.agent.incarnation,
+	m.writeHandover(ctx, service, slot, ownerWrite{base: base, owner: burdockowner.Owner{
+		Upstream:      next,
+		Incarnation:   inc,
+		CompleteSince: burdockclock.Millis(offer.GetSinceMillis()),
+		HandedOverBy:  m.agent.incarnation,
 	}})
 }
 
--- a/internal/tool/burdockcli/explain.go
+++ b/internal/tool/burdockcli/explain.go
@@ -4,7 +4,7 @@
 	"context"
 	"os"
 
-	"burdockbend.example/burdockbend/internal/tool/burdockstory"
+	"burdockbend.example/burdockbend/internal/tool/burdocktimeline"
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
@@ -20,13 +20,13 @@
 			if len(args) == 0 {
 				return usage("burdock explain: the request's id is missing")
 			}
-			return c.printStory(args[0], args[1:])
+			return c.printTimeline(args[0], args[1:])
 		},
 	}
 }
 
-func (c *CLI) printStory(request string, files []string) error {
-	logs := []burdockstory.Log{{Name: "stdin", Lines: os.Stdin}}
+func (c *CLI) printTimeline(request string, files []string) error {
+	logs := []burdocktimeline.Log{{Name: "stdin", Lines: os.Stdin}}
 	if len(files) > 0 {
 		logs = nil
 	}
@@ -36,11 +36,11 @@
 			return usage("%v", err)
 		}
 		defer func() { _ = file.Close() }()
-		logs = append(logs, burdockstory.Log{Name: name, Lines: file})
+		logs = append(logs, burdocktimeline.Log{Name: name, Lines: file})
 	}
-	story, err := burdockstory.Read(request, logs)
+	timeline, err := burdocktimeline.Read(request, logs)
 	if err != nil {
 		return err
 	}
-	return story.Print(c.stdout)
+	return timeline.Print(c.stdout)
 }
